--- a/src/gladecroft/bookkeeping/picture.py
+++ b/src/gladecroft/bookkeeping/cluster_state.py
@@ -17,7 +17,7 @@
 from gladecroft.bookkeeping.job import EMPTY, Job, TaskKey
 from gladecroft.bookkeeping.teams import Guarantees, TeamUse, never_runs
 from gladecroft.bookkeeping.versions import Versions
-from gladecroft.bookkeeping.waiting import Waiting
+from gladecroft.bookkeeping.workload import Waiting
 from gladecroft.protocol.settings import Team
 from gladecroft.protocol.wire import JobSpec, Kind, decode
 
--- a/src/gladecroft/bookkeeping/change.py
+++ b/src/gladecroft/bookkeeping/transaction.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
+from gladecroft.bookkeeping.cluster_state import Picture
 from gladecroft.bookkeeping.job import EMPTY, Job
-from gladecroft.bookkeeping.picture import Picture
 
 
 def _bare(task: rec.TaskRecord) -> rec.TaskRecord:
--- a/src/gladecroft/coordination/admission/__init__.py
+++ b/src/gladecroft/coordination/admission/__init__.py
@@ -1,6 +1,6 @@
 """Who comes first in an overload, agreed among all controllers."""
 
-from gladecroft.coordination.admission.admission import Admission
+from gladecroft.coordination.admission.control import Admission
 from gladecroft.coordination.admission.tiers import Tiers
 
 __all__ = ["Admission", "Tiers"]
--- a/src/gladecroft/coordination/admission/admission.py
+++ b/src/gladecroft/coordination/admission/control.py
@@ -10,13 +10,13 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.waiting import Group
-from gladecroft.coordination.admission.answers import TRIES_FOR, Flow, next_gate, parts_of_all, wait_of
-from gladecroft.coordination.admission.needs import Held, Share, fair_shares, guarantees_exceed, is_short, starving
-from gladecroft.coordination.admission.shares import Amounts
+from gladecroft.bookkeeping.workload import Group
+from gladecroft.coordination.admission.drf import Amounts
+from gladecroft.coordination.admission.fair_share import Held, Share, fair_shares, guarantees_exceed, is_short, starving
 from gladecroft.coordination.admission.tiers import Tiers
+from gladecroft.coordination.admission.window import TRIES_FOR, Flow, next_gate, parts_of_all, wait_of
+from gladecroft.coordination.context import Node
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.node import Node
 from gladecroft.protocol import operators, wire
 from gladecroft.protocol.wire import JobSpec
 
--- a/src/gladecroft/coordination/admission/needs.py
+++ b/src/gladecroft/coordination/admission/fair_share.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from gladecroft.bookkeeping.waiting import Group
-from gladecroft.coordination.admission.shares import Amounts, Need, dominant, fair_parts
+from gladecroft.bookkeeping.workload import Group
+from gladecroft.coordination.admission.drf import Amounts, Need, dominant, fair_parts
 from gladecroft.protocol.settings import Team
 
 K = TypeVar("K", bound=Hashable)
--- a/src/gladecroft/coordination/admission/tiers.py
+++ b/src/gladecroft/coordination/admission/tiers.py
@@ -6,7 +6,7 @@
 from collections.abc import Container, Mapping
 
 from gladecroft.bookkeeping.records import AdmissionRecord, GroupShare
-from gladecroft.bookkeeping.waiting import Group, GroupUse
+from gladecroft.bookkeeping.workload import Group, GroupUse
 
 FIRST, USUAL, LAST = 0, 1, 2
 
--- a/src/gladecroft/coordination/admission/answers.py
+++ b/src/gladecroft/coordination/admission/window.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from gladecroft.bookkeeping.records import GroupShare
-from gladecroft.bookkeeping.waiting import Group
+from gladecroft.bookkeeping.workload import Group
 
 K = TypeVar("K", bound=Hashable)
 
--- a/src/gladecroft/coordination/consent.py
+++ b/src/gladecroft/coordination/consent.py
@@ -24,9 +24,9 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
+from gladecroft.coordination.context import SLACK, Node
+from gladecroft.coordination.events import Asked
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.messages import Asked
-from gladecroft.coordination.node import SLACK, Node
 from gladecroft.protocol import peers, wire
 
 log = logging.getLogger(__name__)
--- a/src/gladecroft/coordination/node.py
+++ b/src/gladecroft/coordination/context.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from gladecroft.bookkeeping.picture import Picture
-from gladecroft.coordination.messages import Asked, Call, Effect, Reply, Target
+from gladecroft.bookkeeping.cluster_state import Picture
+from gladecroft.coordination.events import Asked, Call, Effect, Reply, Target
 from gladecroft.policies import Panel, switched_on
 from gladecroft.protocol.settings import DRIFT, Operator, Platform, member_ttl
 from gladecroft.protocol.wire import Refusal, decode, encode
--- a/src/gladecroft/coordination/core.py
+++ b/src/gladecroft/coordination/core.py
@@ -8,16 +8,16 @@
 from gladecroft.bookkeeping.records import MachineUse
 from gladecroft.coordination.admission import Admission
 from gladecroft.coordination.consent import Consent
+from gladecroft.coordination.context import Node
+from gladecroft.coordination.events import Answered, Asked, Clock, Effect, Event, Verb, Watched, by_urgency
 from gladecroft.coordination.fleet import Fleet
-from gladecroft.coordination.keeper import Keeper
-from gladecroft.coordination.ledger import Ledger
+from gladecroft.coordination.machines import Keeper
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.messages import Answered, Asked, Clock, Effect, Event, Verb, Watched, by_urgency
-from gladecroft.coordination.node import Node
-from gladecroft.coordination.orders import Orders
-from gladecroft.coordination.placers import Placers
+from gladecroft.coordination.operator_commands import Orders
+from gladecroft.coordination.scheduling import Placers
+from gladecroft.coordination.state_writer import Ledger
 from gladecroft.coordination.users import Users
-from gladecroft.coordination.users.users import JOBS_PER_MB
+from gladecroft.coordination.users.handler import JOBS_PER_MB
 from gladecroft.protocol.settings import Operator, Platform
 from gladecroft.protocol.wire import encode
 
--- a/src/gladecroft/coordination/fleet/__init__.py
+++ b/src/gladecroft/coordination/fleet/__init__.py
@@ -1,5 +1,5 @@
 """The leader's dealings with the cloud: what there is, what to rent, what to return."""
 
-from gladecroft.coordination.fleet.fleet import Fleet
+from gladecroft.coordination.fleet.autoscaler import Fleet
 
 __all__ = ["Fleet"]
--- a/src/gladecroft/coordination/fleet/fleet.py
+++ b/src/gladecroft/coordination/fleet/autoscaler.py
@@ -9,20 +9,20 @@
 
 import msgspec
 
+from gladecroft.bookkeeping.cluster_state import NOBODY
 from gladecroft.bookkeeping.job import Job
-from gladecroft.bookkeeping.picture import NOBODY
 from gladecroft.bookkeeping.records import MachineRecord, MachineSort, MachineUse
-from gladecroft.coordination.admission.shares import Amounts
-from gladecroft.coordination.fleet.market import Market
-from gladecroft.coordination.fleet.plan import Bin, Plan, Room, Terms, empty_bin
-from gladecroft.coordination.fleet.shrink import Idle, dear_room, fits_elsewhere, to_give_back
-from gladecroft.coordination.fleet.sight import Sight
-from gladecroft.coordination.keeper import Keeper
-from gladecroft.coordination.ledger import Ledger
+from gladecroft.coordination.admission.drf import Amounts
+from gladecroft.coordination.context import Node
+from gladecroft.coordination.fleet.cloud_client import Market
+from gladecroft.coordination.fleet.packing import Bin, Plan, Room, Terms, empty_bin
+from gladecroft.coordination.fleet.reconciler import Sight
+from gladecroft.coordination.fleet.sizing import Idle, dear_room, fits_elsewhere, to_give_back
+from gladecroft.coordination.machines import Keeper
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.node import Node
-from gladecroft.coordination.placers import MOVED, Placers
-from gladecroft.policies.seam import Demand
+from gladecroft.coordination.scheduling import MOVED, Placers
+from gladecroft.coordination.state_writer import Ledger
+from gladecroft.policies.interface import Demand
 from gladecroft.protocol.wire import Kind
 
 log = logging.getLogger(__name__)
--- a/src/gladecroft/coordination/fleet/market.py
+++ b/src/gladecroft/coordination/fleet/cloud_client.py
@@ -8,10 +8,10 @@
 import msgspec
 
 from gladecroft.bookkeeping.records import MachineSort
-from gladecroft.coordination.keeper import Keeper
+from gladecroft.coordination.context import CLOUD_LIMIT, Node
+from gladecroft.coordination.machines import Keeper
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.node import CLOUD_LIMIT, Node
-from gladecroft.coordination.placers.floor import Floor
+from gladecroft.coordination.scheduling.candidate_cache import Floor
 from gladecroft.protocol import wire
 from gladecroft.protocol.wire import ListedMachine, MachineType
 
--- a/src/gladecroft/coordination/fleet/plan.py
+++ b/src/gladecroft/coordination/fleet/packing.py
@@ -7,7 +7,7 @@
 
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import MachineSort
-from gladecroft.policies.seam import Demand
+from gladecroft.policies.interface import Demand
 from gladecroft.protocol.wire import JobSpec, MachineType
 
 #: A kind is dear for a job if a core costs that many times as much as on the cheapest kind it allows.
--- a/src/gladecroft/coordination/fleet/sight.py
+++ b/src/gladecroft/coordination/fleet/reconciler.py
@@ -8,11 +8,11 @@
 import msgspec
 
 from gladecroft.bookkeeping.records import MachineRecord, MachineUse, machine_key
-from gladecroft.coordination.fleet.market import Coming, Market
-from gladecroft.coordination.keeper import Keeper
-from gladecroft.coordination.ledger import Ledger
+from gladecroft.coordination.context import Node
+from gladecroft.coordination.fleet.cloud_client import Coming, Market
+from gladecroft.coordination.machines import Keeper
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.node import Node
+from gladecroft.coordination.state_writer import Ledger
 from gladecroft.protocol.wire import MachineState
 
 log = logging.getLogger(__name__)
--- a/src/gladecroft/coordination/fleet/shrink.py
+++ b/src/gladecroft/coordination/fleet/sizing.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from gladecroft.bookkeeping.job import Job
-from gladecroft.bookkeeping.waiting import Group, Work
-from gladecroft.coordination.fleet.plan import Bin
+from gladecroft.bookkeeping.workload import Group, Work
+from gladecroft.coordination.fleet.packing import Bin
 from gladecroft.protocol.wire import JobSpec, Kind
 
 #: So many idle machines, and this share of the fleet, are kept for as long as the operators say; more of them only for
--- a/src/gladecroft/coordination/keeper/__init__.py
+++ b/src/gladecroft/coordination/machines/__init__.py
@@ -1,5 +1,5 @@
 """The owner's work for each of its machines: reports, commands, what is proven gone, and what siblings hear of it."""
 
-from gladecroft.coordination.keeper.keeper import Keeper
+from gladecroft.coordination.machines.manager import Keeper
 
 __all__ = ["Keeper"]
--- a/src/gladecroft/coordination/keeper/heralds.py
+++ b/src/gladecroft/coordination/machines/announcer.py
@@ -5,10 +5,10 @@
 from datetime import timedelta
 
 from gladecroft.bookkeeping.records import MachineRecord, MachineUse
-from gladecroft.coordination.keeper.machine import Machine
-from gladecroft.coordination.ledger import TELL_EVERY, Ledger
+from gladecroft.coordination.context import Node
+from gladecroft.coordination.machines.machine import Machine
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.node import Node
+from gladecroft.coordination.state_writer import TELL_EVERY, Ledger
 from gladecroft.protocol import peers, wire
 from gladecroft.protocol.wire import Report
 
--- a/src/gladecroft/coordination/keeper/commands.py
+++ b/src/gladecroft/coordination/machines/commands.py
@@ -9,7 +9,7 @@
 
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import TaskRecord, TaskState
-from gladecroft.coordination.keeper.machine import Machine, TaskKey
+from gladecroft.coordination.machines.machine import Machine, TaskKey
 from gladecroft.protocol.wire import Command, Op
 from gladecroft.protocol.wire import TaskState as Seen
 
--- a/src/gladecroft/coordination/keeper/keeper.py
+++ b/src/gladecroft/coordination/machines/manager.py
@@ -15,15 +15,15 @@
 
 from gladecroft.bookkeeping.records import MachineRecord, MachineUse
 from gladecroft.coordination.consent import Consent
-from gladecroft.coordination.keeper.commands import difference, mark, worth_a_call
-from gladecroft.coordination.keeper.heralds import Heralds
-from gladecroft.coordination.keeper.judge import Judge
-from gladecroft.coordination.keeper.machine import Machine, task_key
-from gladecroft.coordination.keeper.visits import MARGIN, Visits
-from gladecroft.coordination.ledger import LOST, Ledger, Outcome
+from gladecroft.coordination.context import SLACK, Node
+from gladecroft.coordination.events import Asked
+from gladecroft.coordination.machines.announcer import Heralds
+from gladecroft.coordination.machines.commands import difference, mark, worth_a_call
+from gladecroft.coordination.machines.machine import Machine, task_key
+from gladecroft.coordination.machines.misrouted_reports import MARGIN, Visits
+from gladecroft.coordination.machines.report_evaluator import Judge
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.messages import Asked
-from gladecroft.coordination.node import SLACK, Node
+from gladecroft.coordination.state_writer import LOST, Ledger, Outcome
 from gladecroft.protocol import peers, wire
 from gladecroft.protocol.wire import Command, Commands, Op, Report
 
--- a/src/gladecroft/coordination/keeper/visits.py
+++ b/src/gladecroft/coordination/machines/misrouted_reports.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from gladecroft.coordination.keeper.machine import Machine
+from gladecroft.coordination.context import SLACK, Node
+from gladecroft.coordination.events import Asked
+from gladecroft.coordination.machines.machine import Machine
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.messages import Asked
-from gladecroft.coordination.node import SLACK, Node
 from gladecroft.protocol import peers, wire
 from gladecroft.protocol.wire import Steward
 
--- a/src/gladecroft/coordination/keeper/judge.py
+++ b/src/gladecroft/coordination/machines/report_evaluator.py
@@ -8,10 +8,10 @@
 
 from gladecroft.bookkeeping import records as rec
 from gladecroft.bookkeeping.records import MachineUse, TaskState
-from gladecroft.coordination.keeper.blame import OUT_OF_USE, machine_accused
-from gladecroft.coordination.keeper.machine import Machine, TaskKey
-from gladecroft.coordination.ledger import Ledger, Outcome
-from gladecroft.coordination.node import Node
+from gladecroft.coordination.context import Node
+from gladecroft.coordination.machines.fault_attribution import OUT_OF_USE, machine_accused
+from gladecroft.coordination.machines.machine import Machine, TaskKey
+from gladecroft.coordination.state_writer import Ledger, Outcome
 from gladecroft.protocol.wire import TaskReport, Why
 from gladecroft.protocol.wire import TaskState as Seen
 
--- a/src/gladecroft/coordination/membership/parts.py
+++ b/src/gladecroft/coordination/membership/assignment.py
@@ -6,7 +6,7 @@
 from hashlib import blake2b
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.picture import Picture
+from gladecroft.bookkeeping.cluster_state import Picture
 from gladecroft.protocol.wire import JobSpec, Kind
 
 
--- a/src/gladecroft/coordination/membership/epochs.py
+++ b/src/gladecroft/coordination/membership/epochs.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.coordination.node import RETRY
+from gladecroft.coordination.context import RETRY
 
 #: How long newcomers wait for each other before they propose an epoch.
 NEXT = timedelta(seconds=0.3)
--- a/src/gladecroft/coordination/membership/membership.py
+++ b/src/gladecroft/coordination/membership/membership.py
@@ -14,11 +14,11 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
+from gladecroft.coordination.context import RETRY, SLACK, Node
+from gladecroft.coordination.events import Watch, Watched
+from gladecroft.coordination.membership.assignment import Parts
 from gladecroft.coordination.membership.epochs import fitting, next_epoch, turn
-from gladecroft.coordination.membership.listing import Listing
-from gladecroft.coordination.membership.parts import Parts
-from gladecroft.coordination.messages import Watch, Watched
-from gladecroft.coordination.node import RETRY, SLACK, Node
+from gladecroft.coordination.membership.record_loader import Listing
 from gladecroft.protocol import wire
 
 log = logging.getLogger(__name__)
--- a/src/gladecroft/coordination/membership/listing.py
+++ b/src/gladecroft/coordination/membership/record_loader.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.coordination.node import RETRY, Node
+from gladecroft.coordination.context import RETRY, Node
 from gladecroft.protocol import wire
 
 log = logging.getLogger(__name__)
--- a/src/gladecroft/coordination/orders.py
+++ b/src/gladecroft/coordination/operator_commands.py
@@ -8,12 +8,12 @@
 
 from gladecroft.bookkeeping import records as rec
 from gladecroft.bookkeeping.records import MachineUse
-from gladecroft.coordination.ledger import Ledger, PolicyPut
+from gladecroft.coordination.context import Node
+from gladecroft.coordination.events import Asked
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.messages import Asked
-from gladecroft.coordination.node import Node
+from gladecroft.coordination.state_writer import Ledger, PolicyPut
 from gladecroft.policies import cordon
-from gladecroft.policies.seam import Place
+from gladecroft.policies.interface import Place
 from gladecroft.protocol import operators, wire
 
 #: How long an order may wait for its commit; the service gives a request up after 4.5 s.
--- a/src/gladecroft/coordination/placers/floor.py
+++ b/src/gladecroft/coordination/scheduling/candidate_cache.py
@@ -7,11 +7,11 @@
 
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import MachineSort, MachineUse, TaskRecord, TaskState
-from gladecroft.coordination.keeper import Keeper
-from gladecroft.coordination.ledger import Ledger
+from gladecroft.coordination.context import Node
+from gladecroft.coordination.machines import Keeper
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.node import Node
-from gladecroft.coordination.placers.placement import Resident, Slot
+from gladecroft.coordination.scheduling.placement import Resident, Slot
+from gladecroft.coordination.state_writer import Ledger
 from gladecroft.policies import Panel
 from gladecroft.protocol.operators import utc
 from gladecroft.protocol.wire import JobSpec, Kind, MachineType
--- a/src/gladecroft/coordination/placers/stops.py
+++ b/src/gladecroft/coordination/scheduling/evictor.py
@@ -5,14 +5,14 @@
 
 from __future__ import annotations
 
-from gladecroft.bookkeeping.change import Change
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import MachineSort, MachineUse, TaskRecord, TaskState
+from gladecroft.bookkeeping.transaction import Change
+from gladecroft.coordination.context import Node
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.node import Node
-from gladecroft.coordination.placers.choice import Chooser, need_of, zone_room
-from gladecroft.coordination.placers.floor import Floor
-from gladecroft.coordination.placers.placement import Offer
+from gladecroft.coordination.scheduling.candidate_cache import Floor
+from gladecroft.coordination.scheduling.placement import Offer
+from gladecroft.coordination.scheduling.selection import Chooser, need_of, zone_room
 from gladecroft.policies import Panel
 from gladecroft.protocol.wire import Kind
 
--- a/src/gladecroft/coordination/placers/gangs.py
+++ b/src/gladecroft/coordination/scheduling/gang_scheduler.py
@@ -5,15 +5,15 @@
 import logging
 from collections.abc import Callable
 
-from gladecroft.bookkeeping.change import Change
 from gladecroft.bookkeeping.job import Job
-from gladecroft.coordination.ledger import Ledger
-from gladecroft.coordination.node import Node
-from gladecroft.coordination.placers.choice import Chooser, claim, need_of, one_zone, zone_room
-from gladecroft.coordination.placers.floor import Floor
-from gladecroft.coordination.placers.placement import Need, Offer, Ranking, Slot
-from gladecroft.coordination.placers.stops import Stops
-from gladecroft.coordination.placers.writer import Writer
+from gladecroft.bookkeeping.transaction import Change
+from gladecroft.coordination.context import Node
+from gladecroft.coordination.scheduling.candidate_cache import Floor
+from gladecroft.coordination.scheduling.evictor import Stops
+from gladecroft.coordination.scheduling.placement import Need, Offer, Ranking, Slot
+from gladecroft.coordination.scheduling.placement_writer import Writer
+from gladecroft.coordination.scheduling.selection import Chooser, claim, need_of, one_zone, zone_room
+from gladecroft.coordination.state_writer import Ledger
 
 log = logging.getLogger(__name__)
 
--- a/src/gladecroft/coordination/placers/shortage.py
+++ b/src/gladecroft/coordination/scheduling/infeasible_cache.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from gladecroft.bookkeeping.job import Job
-from gladecroft.coordination.placers.choice import need_of
-from gladecroft.coordination.placers.floor import Floor
-from gladecroft.coordination.placers.placement import TINY, Need, Slot
+from gladecroft.coordination.scheduling.candidate_cache import Floor
+from gladecroft.coordination.scheduling.placement import TINY, Need, Slot
+from gladecroft.coordination.scheduling.selection import need_of
 
 #: What kind of room is looked for: the machines that a job allows, and in which way they may be used.
 Where = tuple[object, ...]
--- a/src/gladecroft/coordination/placers/queue.py
+++ b/src/gladecroft/coordination/scheduling/ordering.py
@@ -5,7 +5,7 @@
 import math
 
 from gladecroft.bookkeeping.job import Job
-from gladecroft.coordination.node import Node
+from gladecroft.coordination.context import Node
 from gladecroft.protocol.wire import Kind
 
 #: Seconds that a class without aims is given.
--- a/src/gladecroft/coordination/placers/lineup.py
+++ b/src/gladecroft/coordination/scheduling/pending_queue.py
@@ -15,9 +15,9 @@
 import msgspec
 from sortedcontainers import SortedList
 
+from gladecroft.bookkeeping.cluster_state import Picture
 from gladecroft.bookkeeping.job import Job
-from gladecroft.bookkeeping.picture import Picture
-from gladecroft.coordination.placers.queue import OVERDUE, Queue
+from gladecroft.coordination.scheduling.ordering import OVERDUE, Queue
 from gladecroft.policies import Panel
 from gladecroft.protocol.wire import Kind
 
--- a/src/gladecroft/coordination/placers/writer.py
+++ b/src/gladecroft/coordination/scheduling/placement_writer.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.change import Change
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import TaskRecord, TaskState
-from gladecroft.coordination.node import Node
-from gladecroft.coordination.placers.floor import Floor
-from gladecroft.coordination.placers.placement import Slot
+from gladecroft.bookkeeping.transaction import Change
+from gladecroft.coordination.context import Node
+from gladecroft.coordination.scheduling.candidate_cache import Floor
+from gladecroft.coordination.scheduling.placement import Slot
 from gladecroft.protocol.wire import Kind
 
 
--- a/src/gladecroft/coordination/placers/placers.py
+++ b/src/gladecroft/coordination/scheduling/scheduler.py
@@ -6,24 +6,24 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from gladecroft.bookkeeping.change import Change
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import TaskRecord, TaskState
+from gladecroft.bookkeeping.transaction import Change
 from gladecroft.coordination.admission.tiers import FIRST, LAST, USUAL, Tiers
-from gladecroft.coordination.keeper import Keeper
-from gladecroft.coordination.keeper.blame import accuses_itself, may_start, next_try
-from gladecroft.coordination.ledger import Ledger
+from gladecroft.coordination.context import Node
+from gladecroft.coordination.machines import Keeper
+from gladecroft.coordination.machines.fault_attribution import accuses_itself, may_start, next_try
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.node import Node
-from gladecroft.coordination.placers.choice import Chooser, claim, need_of, one_zone, zone_room
-from gladecroft.coordination.placers.floor import Floor
-from gladecroft.coordination.placers.gangs import Gangs
-from gladecroft.coordination.placers.lineup import Lineup, Round, Row
-from gladecroft.coordination.placers.placement import TINY, HighPlacer, LowSide, Need, Offer, Ranking, Resident, Slot
-from gladecroft.coordination.placers.queue import Queue
-from gladecroft.coordination.placers.shortage import Shortage
-from gladecroft.coordination.placers.stops import Stops
-from gladecroft.coordination.placers.writer import Writer
+from gladecroft.coordination.scheduling.candidate_cache import Floor
+from gladecroft.coordination.scheduling.evictor import Stops
+from gladecroft.coordination.scheduling.gang_scheduler import Gangs
+from gladecroft.coordination.scheduling.infeasible_cache import Shortage
+from gladecroft.coordination.scheduling.ordering import Queue
+from gladecroft.coordination.scheduling.pending_queue import Lineup, Round, Row
+from gladecroft.coordination.scheduling.placement import TINY, HighPlacer, LowSide, Need, Offer, Ranking, Resident, Slot
+from gladecroft.coordination.scheduling.placement_writer import Writer
+from gladecroft.coordination.scheduling.selection import Chooser, claim, need_of, one_zone, zone_room
+from gladecroft.coordination.state_writer import Ledger
 from gladecroft.protocol.wire import PRIORITY_RANK, JobSpec, Kind, MachineType
 
 log = logging.getLogger(__name__)
--- a/src/gladecroft/coordination/placers/choice.py
+++ b/src/gladecroft/coordination/scheduling/selection.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Container
 
+from gladecroft.bookkeeping.cluster_state import Picture
 from gladecroft.bookkeeping.job import Job
-from gladecroft.bookkeeping.picture import Picture
 from gladecroft.bookkeeping.records import TaskRecord
-from gladecroft.coordination.placers.placement import TINY, HighPlacer, LowSide, Need, Offer, Ranking, Slot
+from gladecroft.coordination.scheduling.placement import TINY, HighPlacer, LowSide, Need, Offer, Ranking, Slot
 
 #: Stands for the zone of a machine that is not known.
 UNKNOWN = "?"
--- a/src/gladecroft/coordination/ledger/closing.py
+++ b/src/gladecroft/coordination/state_writer/completion.py
@@ -7,13 +7,13 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.change import Change
+from gladecroft.bookkeeping.cluster_state import Picture
 from gladecroft.bookkeeping.job import Job
-from gladecroft.bookkeeping.picture import Picture
 from gladecroft.bookkeeping.records import TaskRecord, TaskState
-from gladecroft.coordination.ledger.ends import Ends, Gathered
+from gladecroft.bookkeeping.transaction import Change
+from gladecroft.coordination.context import Node
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.node import Node
+from gladecroft.coordination.state_writer.exits import Ends, Gathered
 
 #: While writes are short, ends of a job's tasks for which nobody waits are gathered this long, so that one write holds
 #: many.
--- a/src/gladecroft/coordination/ledger/ends.py
+++ b/src/gladecroft/coordination/state_writer/exits.py
@@ -7,11 +7,11 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.change import Change
 from gladecroft.bookkeeping.job import Job
+from gladecroft.bookkeeping.transaction import Change
+from gladecroft.coordination.context import Node
+from gladecroft.coordination.events import Asked
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.messages import Asked
-from gladecroft.coordination.node import Node
 from gladecroft.protocol import peers, wire
 
 #: What siblings can't be told is written at most this often, many things in one value.
--- a/src/gladecroft/coordination/ledger/ledger.py
+++ b/src/gladecroft/coordination/state_writer/writer.py
@@ -14,11 +14,11 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.change import Change
-from gladecroft.coordination.ledger.closing import Closing
-from gladecroft.coordination.ledger.ends import Ends
+from gladecroft.bookkeeping.transaction import Change
+from gladecroft.coordination.context import Node
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.node import Node
+from gladecroft.coordination.state_writer.completion import Closing
+from gladecroft.coordination.state_writer.exits import Ends
 from gladecroft.protocol import wire
 
 log = logging.getLogger(__name__)
--- a/src/gladecroft/coordination/users/__init__.py
+++ b/src/gladecroft/coordination/users/__init__.py
@@ -1,5 +1,5 @@
 """Submissions, polls and cancellations."""
 
-from gladecroft.coordination.users.users import Users
+from gladecroft.coordination.users.handler import Users
 
 __all__ = ["Users"]
--- a/src/gladecroft/coordination/users/changes.py
+++ b/src/gladecroft/coordination/users/commit_queue.py
@@ -9,10 +9,10 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
+from gladecroft.coordination.context import Node
+from gladecroft.coordination.events import Verb
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.messages import Verb
-from gladecroft.coordination.node import Node
-from gladecroft.coordination.users.desk import Desk, Waiting
+from gladecroft.coordination.users.pending import Desk, Waiting
 from gladecroft.protocol import wire
 
 log = logging.getLogger(__name__)
--- a/src/gladecroft/coordination/users/users.py
+++ b/src/gladecroft/coordination/users/handler.py
@@ -11,13 +11,13 @@
 from datetime import timedelta
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.coordination.admission.answers import position
+from gladecroft.coordination.admission.window import position
+from gladecroft.coordination.context import Node
+from gladecroft.coordination.events import Asked, Verb
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.messages import Asked, Verb
-from gladecroft.coordination.node import Node
-from gladecroft.coordination.users.changes import Changes
-from gladecroft.coordination.users.desk import Desk, Waiting
+from gladecroft.coordination.users.commit_queue import Changes
 from gladecroft.coordination.users.lookups import Lookups
+from gladecroft.coordination.users.pending import Desk, Waiting
 from gladecroft.protocol import wire
 from gladecroft.protocol.wire import JobSpec
 
--- a/src/gladecroft/coordination/users/lookups.py
+++ b/src/gladecroft/coordination/users/lookups.py
@@ -14,8 +14,8 @@
 from datetime import timedelta
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.coordination.node import RETRY, Node
-from gladecroft.coordination.users.desk import Desk, Waiting
+from gladecroft.coordination.context import RETRY, Node
+from gladecroft.coordination.users.pending import Desk, Waiting
 from gladecroft.protocol import wire
 
 READS_AT_ONCE = 16
--- a/src/gladecroft/coordination/users/desk.py
+++ b/src/gladecroft/coordination/users/pending.py
@@ -10,8 +10,8 @@
 
 from gladecroft.bookkeeping import records as rec
 from gladecroft.bookkeeping.job import Job
-from gladecroft.coordination.messages import Asked, Verb
-from gladecroft.coordination.node import Node
+from gladecroft.coordination.context import Node
+from gladecroft.coordination.events import Asked, Verb
 from gladecroft.protocol import wire
 from gladecroft.protocol.wire import JobSpec, JobStatus, Status
 
--- a/src/gladecroft/lab/cloud.py
+++ b/src/gladecroft/lab/cloud.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
+from gladecroft.lab.simulation import CloudLike, Replier, World, raw, seconds
 from gladecroft.lab.worker import Kind, Worker
-from gladecroft.lab.world import CloudLike, Replier, World, raw, seconds
 
 Json = dict[str, Any]
 
--- a/src/gladecroft/lab/commands.py
+++ b/src/gladecroft/lab/commands.py
@@ -16,7 +16,7 @@
 from gladecroft.lab.loopback import Lab, LabError
 from gladecroft.lab.scenario import Scenario, ScenarioError
 from gladecroft.protocol.settings import Operator, SettingsError, load_operator
-from gladecroft.toolbox.talk import BAD_INPUT, fail
+from gladecroft.toolbox.controller_client import BAD_INPUT, fail
 
 BROKEN = 1
 #: A killed controller is started again after this.
@@ -175,7 +175,7 @@
 
 def _table() -> Any:
     try:
-        from gladecroft.lab.table import Table
+        from gladecroft.lab.live_table import Table
     except ImportError:
         fail(BAD_INPUT, "the table needs the extra: pip install 'gladecroft[lab]', or use --json")
     return Table()
--- a/src/gladecroft/lab/troubles.py
+++ b/src/gladecroft/lab/fault_injection.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from gladecroft.coordination.messages import Verb
+from gladecroft.coordination.events import Verb
 from gladecroft.lab.cloud import Cloud
 from gladecroft.lab.oracle import Oracle
-from gladecroft.lab.state import StateService
+from gladecroft.lab.simulation import Controller, World, seconds
+from gladecroft.lab.state_service import StateService
 from gladecroft.lab.user import User
 from gladecroft.lab.worker import Worker
-from gladecroft.lab.world import Controller, World, seconds
 
 Json = dict[str, Any]
 
--- a/src/gladecroft/lab/growth.py
+++ b/src/gladecroft/lab/growth.py
@@ -19,9 +19,9 @@
 
 import msgspec
 
-from gladecroft.coordination.messages import Asked, Event, Verb
+from gladecroft.coordination.events import Asked, Event, Verb
 from gladecroft.lab.scenario import Scenario
-from gladecroft.lab.world import Controller, Replier, seconds
+from gladecroft.lab.simulation import Controller, Replier, seconds
 
 FLEET = """
 nodes 3
--- a/src/gladecroft/lab/loopback.py
+++ b/src/gladecroft/lab/loopback.py
@@ -14,13 +14,13 @@
 import anyio.abc
 import msgspec
 
-from gladecroft.coordination.messages import Reply, Verb
+from gladecroft.coordination.events import Reply, Verb
 from gladecroft.lab.cloud import Cloud
 from gladecroft.lab.oracle import Oracle
-from gladecroft.lab.state import StateService
+from gladecroft.lab.simulation import Replier, World, seconds
+from gladecroft.lab.state_service import StateService
 from gladecroft.lab.user import User
 from gladecroft.lab.worker import Kind, Worker
-from gladecroft.lab.world import Replier, World, seconds
 from gladecroft.protocol import wire
 from gladecroft.protocol.settings import Operator, Platform
 from gladecroft.service import Service
--- a/src/gladecroft/lab/oracle.py
+++ b/src/gladecroft/lab/oracle.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from gladecroft.coordination.messages import Verb
+from gladecroft.coordination.events import Verb
 
 Json = dict[str, Any]
 Key = tuple[str, int]
--- a/src/gladecroft/lab/overload.py
+++ b/src/gladecroft/lab/overload.py
@@ -13,7 +13,7 @@
 import click
 
 from gladecroft.lab.scenario import Scenario
-from gladecroft.lab.world import seconds
+from gladecroft.lab.simulation import seconds
 
 FLEET = """
 nodes {nodes}
--- a/src/gladecroft/lab/scenario.py
+++ b/src/gladecroft/lab/scenario.py
@@ -11,15 +11,15 @@
 
 import msgspec
 
-from gladecroft.coordination.messages import Verb
+from gladecroft.coordination.events import Verb
 from gladecroft.lab.cloud import Cloud
+from gladecroft.lab.fault_injection import Troubles
 from gladecroft.lab.oracle import Oracle
-from gladecroft.lab.room import waiting_with_room
-from gladecroft.lab.state import StateService
-from gladecroft.lab.troubles import Troubles
+from gladecroft.lab.placeable_jobs import waiting_with_room
+from gladecroft.lab.simulation import START, Controller, Replier, World, seconds
+from gladecroft.lab.state_service import StateService
 from gladecroft.lab.user import User
 from gladecroft.lab.worker import Kind, Worker
-from gladecroft.lab.world import START, Controller, Replier, World, seconds
 from gladecroft.protocol import operators
 from gladecroft.protocol.settings import Operator, Platform
 
--- a/src/gladecroft/lab/world.py
+++ b/src/gladecroft/lab/simulation.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from gladecroft.coordination.core import Core
-from gladecroft.coordination.messages import Answered, Asked, Call, Clock, Event, Reply, Target, Verb, Watch, Watched
+from gladecroft.coordination.events import Answered, Asked, Call, Clock, Event, Reply, Target, Verb, Watch, Watched
 from gladecroft.protocol import wire
 from gladecroft.protocol.settings import Operator, Platform
 from gladecroft.service import SIBLINGS_ASK
--- a/src/gladecroft/lab/state.py
+++ b/src/gladecroft/lab/state_service.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from gladecroft.lab.world import Replier, StateLike, World, raw, seconds
+from gladecroft.lab.simulation import Replier, StateLike, World, raw, seconds
 
 Json = dict[str, Any]
 
--- a/src/gladecroft/lab/worker.py
+++ b/src/gladecroft/lab/worker.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from gladecroft.coordination.messages import Reply, Verb
+from gladecroft.coordination.events import Reply, Verb
 from gladecroft.lab.oracle import Oracle
-from gladecroft.lab.world import Front, Replier, WorkerLike, World, raw, seconds
+from gladecroft.lab.simulation import Front, Replier, WorkerLike, World, raw, seconds
 
 Json = dict[str, Any]
 
--- a/src/gladecroft/policies/__init__.py
+++ b/src/gladecroft/policies/__init__.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 
 from gladecroft.policies.cordon import Cordon
-from gladecroft.policies.panel import Panel
-from gladecroft.policies.seam import Policy
+from gladecroft.policies.engine import Panel
+from gladecroft.policies.interface import Policy
 
 #: The policies that operators may switch on, by the name in their settings.
 KNOWN: dict[str, type[Policy]] = {Cordon.subject: Cordon}
--- a/src/gladecroft/policies/cordon.py
+++ b/src/gladecroft/policies/cordon.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from gladecroft.bookkeeping.job import Job
-from gladecroft.policies.seam import Place, Policy
+from gladecroft.policies.interface import Place, Policy
 from gladecroft.protocol.operators import CordonFacts, CordonOrder, Scope, until
 
 #: So many cordons at the most; one for a whole type or zone does for many machines.
--- a/src/gladecroft/policies/panel.py
+++ b/src/gladecroft/policies/engine.py
@@ -18,7 +18,7 @@
 
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import MachineSort
-from gladecroft.policies.seam import Demand, Drain, Hold, Place, Policy
+from gladecroft.policies.interface import Demand, Drain, Hold, Place, Policy
 from gladecroft.protocol.operators import utc
 
 log = logging.getLogger(__name__)
--- a/src/gladecroft/service.py
+++ b/src/gladecroft/service.py
@@ -16,7 +16,7 @@
 
 from gladecroft.bookkeeping import records as rec
 from gladecroft.coordination.core import Core
-from gladecroft.coordination.messages import (
+from gladecroft.coordination.events import (
     Answered,
     Asked,
     Call,
--- a/src/gladecroft/toolbox/admission.py
+++ b/src/gladecroft/toolbox/admission.py
@@ -9,8 +9,8 @@
 
 from gladecroft.protocol import operators
 from gladecroft.protocol.operators import AdmissionShown, GroupShown, until
+from gladecroft.toolbox.controller_client import ask
 from gladecroft.toolbox.options import as_json_option, node_option, wait_option
-from gladecroft.toolbox.talk import ask
 
 SAYS = {
     "open": "there is enough for all: nothing is agreed",
--- a/src/gladecroft/toolbox/cordon.py
+++ b/src/gladecroft/toolbox/cordon.py
@@ -11,8 +11,8 @@
 
 from gladecroft.protocol import operators
 from gladecroft.protocol.operators import CordonOrder, Cordons, Scope
+from gladecroft.toolbox.controller_client import BAD_INPUT, ask, fail
 from gladecroft.toolbox.options import as_json_option, node_option, wait_option
-from gladecroft.toolbox.talk import BAD_INPUT, ask, fail
 
 UNITS = {"s": 1, "m": 60, "h": 3600, "d": 86400}
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -13,17 +13,17 @@
 from hypothesis import strategies as st
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.waiting import GroupUse
+from gladecroft.bookkeeping.workload import GroupUse
 from gladecroft.coordination.admission import Admission
-from gladecroft.coordination.admission.admission import _fitting
-from gladecroft.coordination.admission.answers import Flow, next_gate, parts_of_all, wait_of
-from gladecroft.coordination.admission.needs import Held, fair_shares, guarantees_exceed, starving
-from gladecroft.coordination.admission.shares import Amounts, Need, dominant, fair_parts
+from gladecroft.coordination.admission.control import _fitting
+from gladecroft.coordination.admission.drf import Amounts, Need, dominant, fair_parts
+from gladecroft.coordination.admission.fair_share import Held, fair_shares, guarantees_exceed, starving
 from gladecroft.coordination.admission.tiers import FIRST, LAST, USUAL, Tiers
-from gladecroft.coordination.messages import Answered, Asked, Call, Reply, Verb, Watched, by_urgency
+from gladecroft.coordination.admission.window import Flow, next_gate, parts_of_all, wait_of
+from gladecroft.coordination.events import Answered, Asked, Call, Reply, Verb, Watched, by_urgency
 from gladecroft.lab.overload import FLEET, drip, fleet, pour, started
 from gladecroft.lab.scenario import Scenario
-from gladecroft.lab.world import Replier, seconds
+from gladecroft.lab.simulation import Replier, seconds
 from gladecroft.protocol import wire
 from gladecroft.protocol.settings import Operator, Team
 from gladecroft.protocol.wire import Kind
--- a/tests/test_looks.py
+++ b/tests/test_answer_freshness.py
@@ -9,9 +9,9 @@
 import pytest
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.coordination.messages import Answered, Asked, Call, Effect, Reply, Target, Verb, Watched
+from gladecroft.coordination.events import Answered, Asked, Call, Effect, Reply, Target, Verb, Watched
+from gladecroft.coordination.users.handler import Users
 from gladecroft.coordination.users.lookups import Lookups
-from gladecroft.coordination.users.users import Users
 from gladecroft.lab.scenario import Scenario
 from gladecroft.protocol import wire
 from test_epochs import clock
--- a/tests/test_flood.py
+++ b/tests/test_backlog_cost.py
@@ -12,16 +12,16 @@
 import pytest
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.change import Change
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import TaskRecord, TaskState
 from gladecroft.bookkeeping.teams import Guarantees
-from gladecroft.coordination.fleet.plan import Plan, Room, Terms
-from gladecroft.coordination.ledger import Outcome
-from gladecroft.coordination.placers.lineup import Lineup
-from gladecroft.coordination.placers.placers import MANY_MOVED
+from gladecroft.bookkeeping.transaction import Change
+from gladecroft.coordination.fleet.packing import Plan, Room, Terms
+from gladecroft.coordination.scheduling.pending_queue import Lineup
+from gladecroft.coordination.scheduling.scheduler import MANY_MOVED
+from gladecroft.coordination.state_writer import Outcome
 from gladecroft.lab.scenario import Scenario
-from gladecroft.lab.world import START, seconds
+from gladecroft.lab.simulation import START, seconds
 from gladecroft.protocol.settings import Objective, Team
 from gladecroft.protocol.wire import Kind, MachineType
 from test_epochs import clock
--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -15,14 +15,14 @@
 LOG = """
 2026-01-01 10:00:00,000 INFO gladecroft.coordination.users: job wk-1: accepted, 2 tasks of c for t
 2026-01-01 10:00:00,000 INFO gladecroft.coordination.users: job wk-2: accepted, 1 tasks of c for t
-   10.5 n0 2026-01-01 10:00:01,000 INFO gladecroft.coordination.ledger: wk-1/0#1 goes to m-1
-2026-01-01 10:00:01,000 INFO gladecroft.coordination.ledger: wk-1/1#1 goes to m-2
-2026-01-01 10:00:06,000 INFO gladecroft.coordination.ledger: wk-1/1#1 on m-2 ended: evicted for wk-9
-2026-01-01 10:00:11,000 INFO gladecroft.coordination.ledger: wk-1/1#2 goes to m-3
-2026-01-01 10:00:21,000 INFO gladecroft.coordination.ledger: wk-1 is over: done
+   10.5 n0 2026-01-01 10:00:01,000 INFO gladecroft.coordination.state_writer: wk-1/0#1 goes to m-1
+2026-01-01 10:00:01,000 INFO gladecroft.coordination.state_writer: wk-1/1#1 goes to m-2
+2026-01-01 10:00:06,000 INFO gladecroft.coordination.state_writer: wk-1/1#1 on m-2 ended: evicted for wk-9
+2026-01-01 10:00:11,000 INFO gladecroft.coordination.state_writer: wk-1/1#2 goes to m-3
+2026-01-01 10:00:21,000 INFO gladecroft.coordination.state_writer: wk-1 is over: done
 nothing of ours
-2026-01-01 10:00:21,000 INFO gladecroft.coordination.ledger: wk-2/0#1 goes to m-3
-2026-01-01 10:00:31,000 INFO gladecroft.coordination.ledger: wk-2 is over: done
+2026-01-01 10:00:21,000 INFO gladecroft.coordination.state_writer: wk-2/0#1 goes to m-3
+2026-01-01 10:00:31,000 INFO gladecroft.coordination.state_writer: wk-2 is over: done
 """
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_combined_failures.py
@@ -10,8 +10,8 @@
 
 from gladecroft.bookkeeping import records as rec
 from gladecroft.coordination.consent import Consent
-from gladecroft.coordination.ledger.closing import Closing
-from gladecroft.coordination.messages import Call, Watched
+from gladecroft.coordination.events import Call, Watched
+from gladecroft.coordination.state_writer.completion import Closing
 from gladecroft.lab.scenario import Scenario
 from gladecroft.protocol import peers
 from test_epochs import clock
--- a/tests/test_consent.py
+++ b/tests/test_consent.py
@@ -11,11 +11,11 @@
 
 from gladecroft.bookkeeping import records as rec
 from gladecroft.bookkeeping.records import TaskState
+from gladecroft.coordination.context import SLACK
 from gladecroft.coordination.core import Core
-from gladecroft.coordination.messages import Answered, Asked, Call, Reply, Target, Verb
-from gladecroft.coordination.node import SLACK
+from gladecroft.coordination.events import Answered, Asked, Call, Reply, Target, Verb
 from gladecroft.lab.scenario import Scenario
-from gladecroft.lab.world import seconds
+from gladecroft.lab.simulation import seconds
 from gladecroft.protocol import peers, wire
 from gladecroft.protocol.settings import Operator, Platform
 from test_epochs import PLATFORM, clock
--- a/tests/test_guards.py
+++ b/tests/test_delayed_writes.py
@@ -17,13 +17,13 @@
 import pytest
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.change import Change
+from gladecroft.bookkeeping.cluster_state import Picture
 from gladecroft.bookkeeping.job import Job
-from gladecroft.bookkeeping.picture import Picture
-from gladecroft.coordination.keeper import keeper
-from gladecroft.coordination.keeper.commands import difference
-from gladecroft.coordination.keeper.machine import Machine, TaskKey
-from gladecroft.coordination.ledger.ledger import Ledger
+from gladecroft.bookkeeping.transaction import Change
+from gladecroft.coordination.machines import manager
+from gladecroft.coordination.machines.commands import difference
+from gladecroft.coordination.machines.machine import Machine, TaskKey
+from gladecroft.coordination.state_writer.writer import Ledger
 from gladecroft.lab.scenario import Scenario
 from gladecroft.protocol.wire import Command, Op
 
@@ -130,7 +130,7 @@
         ]
         return commands, [key for key in absent if key not in keys]
 
-    monkeypatch.setattr(keeper, "difference", heedless)
+    monkeypatch.setattr(manager, "difference", heedless)
 
 
 # The epoch ---------------------------------------------------------------------------------------------------
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -13,7 +13,7 @@
 
 from gladecroft.cli import main
 from gladecroft.lab.loopback import Lab
-from gladecroft.lab.world import raw
+from gladecroft.lab.simulation import raw
 from gladecroft.protocol import wire
 from gladecroft.protocol.settings import Operator
 from gladecroft.transport.client import Answer, Client
--- a/tests/test_epochs.py
+++ b/tests/test_epochs.py
@@ -6,8 +6,8 @@
 
 from gladecroft.bookkeeping import records as rec
 from gladecroft.coordination.core import Core
+from gladecroft.coordination.events import Asked, Clock, Verb, Watched
 from gladecroft.coordination.membership import fitting
-from gladecroft.coordination.messages import Asked, Clock, Verb, Watched
 from gladecroft.protocol import wire
 from gladecroft.protocol.settings import Operator, Platform
 
--- a/tests/test_page.py
+++ b/tests/test_failure_timing.py
@@ -8,16 +8,16 @@
 import pytest
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.change import Change
+from gladecroft.bookkeeping.cluster_state import Picture
 from gladecroft.bookkeeping.job import Job
-from gladecroft.bookkeeping.picture import Picture
 from gladecroft.bookkeeping.records import TaskState
+from gladecroft.bookkeeping.transaction import Change
 from gladecroft.coordination.consent import Consent
-from gladecroft.coordination.ledger import LOST, Outcome
-from gladecroft.coordination.ledger.closing import Closing
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.placers import gangs, placers
-from gladecroft.coordination.placers.queue import Queue
+from gladecroft.coordination.scheduling import gang_scheduler, scheduler
+from gladecroft.coordination.scheduling.ordering import Queue
+from gladecroft.coordination.state_writer import LOST, Outcome
+from gladecroft.coordination.state_writer.completion import Closing
 from gladecroft.lab.scenario import Scenario
 from gladecroft.protocol import peers, wire
 from test_fencing import Rig
@@ -138,7 +138,7 @@
 
 
 def test_a_lost_task_that_goes_to_another_zone_than_the_rest_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    for module in (placers, gangs):
+    for module in (scheduler, gang_scheduler):
         monkeypatch.setattr(module, "one_zone", lambda slots, zones: slots)
     assert found("wrong_place", zone_bound, range(8))
 
--- a/tests/test_blame.py
+++ b/tests/test_fault_attribution.py
@@ -9,7 +9,13 @@
 
 from gladecroft.bookkeeping import records as rec
 from gladecroft.bookkeeping.records import TaskRecord, TaskState
-from gladecroft.coordination.keeper.blame import TRY_MOST, accuses_itself, machine_accused, may_start, next_try
+from gladecroft.coordination.machines.fault_attribution import (
+    TRY_MOST,
+    accuses_itself,
+    machine_accused,
+    may_start,
+    next_try,
+)
 from test_fencing import SPEC, Rig
 
 
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -12,8 +12,8 @@
 from gladecroft.bookkeeping import records as rec
 from gladecroft.bookkeeping.records import TaskRecord, TaskState
 from gladecroft.coordination.core import Core
-from gladecroft.coordination.keeper.machine import Machine
-from gladecroft.coordination.messages import Answered, Asked, Call, Reply, Target, Verb
+from gladecroft.coordination.events import Answered, Asked, Call, Reply, Target, Verb
+from gladecroft.coordination.machines.machine import Machine
 from gladecroft.protocol import wire
 from gladecroft.protocol.settings import Operator, Platform
 from test_epochs import PLATFORM, clock
--- a/tests/test_known.py
+++ b/tests/test_job_retention.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from gladecroft.coordination.messages import Verb
-from gladecroft.coordination.users.users import Users
+from gladecroft.coordination.events import Verb
+from gladecroft.coordination.users.handler import Users
 from gladecroft.lab.oracle import Oracle
 from gladecroft.lab.scenario import Scenario
 
--- a/tests/test_hearing.py
+++ b/tests/test_machine_reachability.py
@@ -13,10 +13,10 @@
 from gladecroft.bookkeeping import records as rec
 from gladecroft.bookkeeping.records import TaskRecord, TaskState
 from gladecroft.coordination.consent import Consent
-from gladecroft.coordination.keeper.machine import Machine
-from gladecroft.coordination.keeper.visits import Visits
+from gladecroft.coordination.events import Asked, Verb
+from gladecroft.coordination.machines.machine import Machine
+from gladecroft.coordination.machines.misrouted_reports import Visits
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.messages import Asked, Verb
 from gladecroft.lab.scenario import Scenario
 from test_fencing import Rig
 
--- a/tests/test_news_meet.py
+++ b/tests/test_machine_report_faults.py
@@ -15,16 +15,16 @@
 
 from gladecroft.bookkeeping import records as rec
 from gladecroft.bookkeeping.records import TaskState
-from gladecroft.coordination.keeper import keeper as keeper_module
-from gladecroft.coordination.keeper.heralds import Heralds
-from gladecroft.coordination.keeper.keeper import Keeper
-from gladecroft.coordination.keeper.machine import Machine, TaskKey
+from gladecroft.coordination.events import Answered, Asked, Call, Verb
+from gladecroft.coordination.machines import manager as keeper_module
+from gladecroft.coordination.machines.announcer import Heralds
+from gladecroft.coordination.machines.machine import Machine, TaskKey
+from gladecroft.coordination.machines.manager import Keeper
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.messages import Answered, Asked, Call, Verb
 from gladecroft.lab.growth import Costs, watch_controller
 from gladecroft.lab.scenario import Scenario
+from gladecroft.lab.simulation import seconds
 from gladecroft.lab.user import User
-from gladecroft.lab.world import seconds
 from gladecroft.protocol import peers, wire
 from gladecroft.protocol.wire import Command, Op, Report
 from test_epochs import clock
--- a/tests/test_oracle.py
+++ b/tests/test_oracle.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 
-from gladecroft.coordination.messages import Verb
-from gladecroft.coordination.placers import Placers
+from gladecroft.coordination.events import Verb
+from gladecroft.coordination.scheduling import Placers
 from gladecroft.lab.oracle import Oracle
 from gladecroft.lab.scenario import Scenario
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,7 +4,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gladecroft.coordination.placers.placement import HighPlacer, LowSide, Need, Resident, Slot, may_evict, victims_on
+from gladecroft.coordination.scheduling.placement import (
+    HighPlacer,
+    LowSide,
+    Need,
+    Resident,
+    Slot,
+    may_evict,
+    victims_on,
+)
 
 LINE = 1
 
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -12,14 +12,14 @@
 
 from gladecroft import policies
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.change import Change
 from gladecroft.bookkeeping.job import Job
-from gladecroft.coordination.messages import Answered, Asked, Call, Reply, Verb
-from gladecroft.coordination.placers.placement import HighPlacer, LowSide, Ranking
+from gladecroft.bookkeeping.transaction import Change
+from gladecroft.coordination.events import Answered, Asked, Call, Reply, Verb
+from gladecroft.coordination.scheduling.placement import HighPlacer, LowSide, Ranking
 from gladecroft.lab.scenario import Scenario
-from gladecroft.lab.world import START, seconds
-from gladecroft.policies.panel import Panel
-from gladecroft.policies.seam import Demand, Drain, Hold, Place, Policy
+from gladecroft.lab.simulation import START, seconds
+from gladecroft.policies.engine import Panel
+from gladecroft.policies.interface import Demand, Drain, Hold, Place, Policy
 from gladecroft.protocol import operators, wire
 from gladecroft.protocol.operators import CordonOrder, Scope
 from gladecroft.protocol.settings import Operator, SettingsError, load_operator
--- a/tests/test_limits_meet.py
+++ b/tests/test_quota_and_cancellation_faults.py
@@ -14,18 +14,18 @@
 
 from gladecroft.bookkeeping import records as rec
 from gladecroft.bookkeeping.job import Job
-from gladecroft.coordination.keeper import keeper
-from gladecroft.coordination.keeper.keeper import Keeper
-from gladecroft.coordination.keeper.machine import Machine
-from gladecroft.coordination.ledger import Ledger
-from gladecroft.coordination.ledger.ends import Ends
+from gladecroft.coordination.events import Verb
+from gladecroft.coordination.machines import manager
+from gladecroft.coordination.machines.machine import Machine
+from gladecroft.coordination.machines.manager import Keeper
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.messages import Verb
-from gladecroft.coordination.users.desk import Waiting
+from gladecroft.coordination.state_writer import Ledger
+from gladecroft.coordination.state_writer.exits import Ends
+from gladecroft.coordination.users.handler import Users
 from gladecroft.coordination.users.lookups import Lookups
-from gladecroft.coordination.users.users import Users
+from gladecroft.coordination.users.pending import Waiting
 from gladecroft.lab.scenario import Scenario
-from gladecroft.lab.state import StateService
+from gladecroft.lab.state_service import StateService
 from gladecroft.protocol.wire import Command, Op
 
 Json = dict[str, Any]
@@ -263,13 +263,13 @@
 
 def cancellation_unseen(monkeypatch: pytest.MonkeyPatch) -> None:
     """Machines are told what the records place there, whether its job is cancelled or not."""
-    difference = keeper.difference
+    difference = manager.difference
 
     def blind(machine: Machine, wanted: Any, jobs: dict[str, Job], gone: Any) -> Any:
         seen: Any = {name: Uncancelled(jobs[name]) for name, _ in wanted if name in jobs}
         return difference(machine, wanted, seen, gone)
 
-    monkeypatch.setattr(keeper, "difference", blind)
+    monkeypatch.setattr(manager, "difference", blind)
 
 
 def play(history: History, seed: int) -> list[str]:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.change import Change
-from gladecroft.bookkeeping.picture import Picture
+from gladecroft.bookkeeping.cluster_state import Picture
 from gladecroft.bookkeeping.records import TaskRecord, TaskState
-from gladecroft.coordination.messages import Asked, Reply, Verb
+from gladecroft.bookkeeping.transaction import Change
+from gladecroft.coordination.events import Asked, Reply, Verb
 from gladecroft.protocol import wire
 from gladecroft.protocol.peers import EndedAttempt, HeardMachine, Names
 from gladecroft.protocol.settings import Team
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,12 +10,12 @@
 from gladecroft.bookkeeping import records as rec
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import TaskRecord, TaskState
-from gladecroft.coordination.ledger import Outcome
-from gladecroft.coordination.ledger.closing import bound_teams
-from gladecroft.coordination.messages import Answered, Asked, Call, Target, Verb
-from gladecroft.coordination.placers.placement import HighPlacer, LowSide, Ranking
+from gladecroft.coordination.events import Answered, Asked, Call, Target, Verb
+from gladecroft.coordination.scheduling.placement import HighPlacer, LowSide, Ranking
+from gladecroft.coordination.state_writer import Outcome
+from gladecroft.coordination.state_writer.completion import bound_teams
 from gladecroft.lab.scenario import Scenario
-from gladecroft.lab.world import Replier, seconds
+from gladecroft.lab.simulation import Replier, seconds
 from gladecroft.protocol import peers, wire
 from gladecroft.protocol.settings import Objective
 from test_epochs import clock
