--- a/src/gladecroft/bookkeeping/records.py
+++ b/src/gladecroft/bookkeeping/records.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from gladecroft.protocol.peers import EndedAttempt, HeardMachine
+from gladecroft.protocol.peers import EndedAttempt, ReportedMachine
 from gladecroft.protocol.wire import JobSpec
 
 ROOT = "g/"
@@ -35,7 +35,7 @@
 ADMISSION = "g/s/admission"
 
 #: What the records are called, by prefix.
-CALLED = {JOBS: "job", CHUNKS: "tasks", FINALS: "final state", TEAMS: "claim", MACHINES: "machine", MAIL: "mail",
+RECORD_NAMES = {JOBS: "job", CHUNKS: "tasks", FINALS: "final state", TEAMS: "claim", MACHINES: "machine", MAIL: "mail",
           POLICIES: "policy", SHARES: "admission"}  # fmt: skip
 
 #: Bytes by which the tasks of a chunk are counted. With a note a record may take more: notes go if a value gets too
@@ -46,7 +46,7 @@
 
 
 #: Begins the note of a task that failed, whose machine follows.
-FAILED = "error "
+FAILED_NOTE_PREFIX = "error "
 
 
 class TaskState(IntEnum):
@@ -106,23 +106,23 @@
     #: Not heard for some time.
     SILENT = 1
     #: The cloud takes it away soon: its work is stopped.
-    LEAVING = 2
+    RECLAIMING = 2
     #: It fails what it starts: its work is stopped.
-    BAD = 3
+    FAULTY = 3
     #: Idle, and about to be returned.
     RETURNING = 4
     #: Little used: its services move elsewhere, its arrays' tasks run to their end.
-    EMPTYING = 5
+    DRAINING = 5
     #: Returned. The record stays for some time, so that a report held up by the network does not bring it back.
-    GONE = 6
+    RETURNED = 6
 
 
 #: Uses in which what is on a machine is to be stopped or moved.
-CLEARING = (MachineUse.LEAVING, MachineUse.BAD, MachineUse.EMPTYING)
+CLEARING = (MachineUse.RECLAIMING, MachineUse.FAULTY, MachineUse.DRAINING)
 
 
 #: A machine's type and zone, and whether it is a cheap one (spot).
-MachineSort = tuple[str, str, bool]
+CapacityPool = tuple[str, str, bool]
 
 
 class MachineRecord(msgspec.Struct, gc=False, frozen=True):
@@ -135,16 +135,16 @@
     until_s: int = 0
 
     @property
-    def sort(self) -> MachineSort:
+    def pool(self) -> CapacityPool:
         return self.type, self.zone, self.spot
 
 
-class MailRecord(msgspec.Struct, gc=False, frozen=True):
+class OutboxRecord(msgspec.Struct, gc=False, frozen=True):
     """Ends of attempts, proven under this epoch, and machines that have reported: as ``protocol.peers`` has them."""
 
     epoch: int
     ended: list[EndedAttempt] = []
-    heard: list[HeardMachine] = []
+    heard: list[ReportedMachine] = []
 
 
 class GroupShare(msgspec.Struct, gc=False, frozen=True, array_like=True, omit_defaults=True):
@@ -199,7 +199,7 @@
     return TEAMS + team.encode().hex()
 
 
-def mail_key(controller: str) -> str:
+def outbox_key(controller: str) -> str:
     return MAIL + controller
 
 
--- a/src/gladecroft/bookkeeping/teams.py
+++ b/src/gladecroft/bookkeeping/teams.py
@@ -9,10 +9,10 @@
 
 from gladecroft.bookkeeping.job import Job
 from gladecroft.protocol.settings import Team
-from gladecroft.protocol.wire import JobSpec, Kind
+from gladecroft.protocol.wire import JobKind, JobSpec
 
 
-class TeamUse:
+class TeamUsage:
     """How many attempts each team has of each size (cores, cards): counted as they come and go, since looking through
     all jobs after every change took steps that grew with the fleet."""
 
@@ -47,24 +47,24 @@
         self._limits = limits
         #: The jobs within their team's guarantee, and the teams that have more unfinished work than that.
         self.inside: set[str] = set()
-        self.crowded: set[str] = set()
+        self.teams_over: set[str] = set()
         self._order: dict[str, SortedList[tuple[int, str]]] = {}
         self._places: dict[str, tuple[int, str]] = {}
         self._inside: dict[str, set[str]] = {}
         self._stale: set[str] = set()
 
-    def note(self, job: Job) -> None:
+    def update(self, job: Job) -> None:
         """A job has come, or has been cancelled: then it counts no more."""
         if (job.id in self._places) is not job.cancelled:
             return
         if job.cancelled:
-            self.forget(job)
+            self.remove(job)
         elif job.spec.team in self._limits:
             place = self._places[job.id] = (job.record.accepted_ms, job.id)
             self._order.setdefault(job.spec.team, SortedList()).add(place)
             self._stale.add(job.spec.team)
 
-    def forget(self, job: Job) -> None:
+    def remove(self, job: Job) -> None:
         place = self._places.pop(job.id, None)
         if place is not None:
             self._order[job.spec.team].remove(place)
@@ -76,9 +76,9 @@
         for team in self._stale:
             before = self._inside.get(team, set())
             inside, crowded = self._within(team, jobs)
-            if crowded is not (team in self.crowded):
+            if crowded is not (team in self.teams_over):
                 changed |= inside
-            (self.crowded.add if crowded else self.crowded.discard)(team)
+            (self.teams_over.add if crowded else self.teams_over.discard)(team)
             changed |= inside ^ before
             self._inside[team] = inside
             self.inside -= before
@@ -100,12 +100,12 @@
         return inside, False
 
 
-def never_runs(limits: Mapping[str, Team], spec: JobSpec) -> str | None:
+def infeasible_reason(limits: Mapping[str, Team], spec: JobSpec) -> str | None:
     """Why the job is more than its team's limit allows for good, or None."""
     team = limits.get(spec.team)
     if team is None:
         return f"unknown team {spec.team}"
-    times = 1 if spec.kind is Kind.ARRAY else spec.tasks
-    if spec.cpus * times > team.most_cpus + 1e-9 or spec.gpus * times > team.most_gpus + 1e-9:
+    times = 1 if spec.kind is JobKind.ARRAY else spec.tasks
+    if spec.cpus * times > team.cpu_limit + 1e-9 or spec.gpus * times > team.gpu_limit + 1e-9:
         return f"needs more than the limit of team {spec.team}"
     return None
--- a/src/gladecroft/bookkeeping/transaction.py
+++ b/src/gladecroft/bookkeeping/transaction.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.cluster_state import Picture
+from gladecroft.bookkeeping.cluster_state import ClusterState
 from gladecroft.bookkeeping.job import EMPTY, Job
 
 
@@ -16,66 +16,66 @@
     return msgspec.structs.replace(task, note="") if task.note else task
 
 
-class Change:
+class TransactionBuilder:
     """One transaction in the making, on top of a picture."""
 
-    def __init__(self, picture: Picture, max_ops: int, max_bytes: int) -> None:
-        self.picture = picture
+    def __init__(self, cluster_state: ClusterState, max_ops: int, max_bytes: int) -> None:
+        self.cluster_state = cluster_state
         self.max_ops = max_ops
         self.max_conditions = 4 * max_ops
         self.max_bytes = max_bytes
         self.conditions: dict[str, int] = {}
-        self.puts: dict[str, bytes | None] = {}
+        self.writes: dict[str, bytes | None] = {}
         self._chunks: dict[tuple[str, int], list[rec.TaskRecord]] = {}
-        self._most_value = picture.value_bytes
+        self._most_value = cluster_state.max_value_bytes
         #: What the teams use with this change made, and the teams for which it places something.
         self._teams: dict[str, list[float]] = {}
-        self.placing: set[str] = set()
+        self.placed_teams: set[str] = set()
         #: Jobs that end with this change: their tasks are not touched any more.
-        self.over: set[str] = set()
-        self.claims: set[str] = set()
-        self.notes: list[str] = []
+        self.finished_jobs: set[str] = set()
+        self.claimed_teams: set[str] = set()
+        self.log_messages: list[str] = []
         #: About what the changes take as JSON, counted as they come: asking for room must not cost a look at all.
         self._size = 200
-        self.require(rec.EPOCH, picture.epoch_version)
+        self.require(rec.EPOCH, cluster_state.epoch_version)
 
     def require(self, key: str, version: int | None = None) -> None:
-        self.conditions.setdefault(key, self.picture.version(key) if version is None else version)
+        self.conditions.setdefault(key, self.cluster_state.version(key) if version is None else version)
 
-    def room(self, jobs: int = 1, teams: int = 1, machines: int = 0) -> bool:
+    def has_room(self, jobs: int = 1, teams: int = 1, machines: int = 0) -> bool:
         """Whether that many more chunks, and conditions on team and machine records, surely fit."""
-        ops = len(self.puts) + len(self._chunks) + jobs
+        ops = len(self.writes) + len(self._chunks) + jobs
         conditions = len(self.conditions) + 2 * jobs + teams + machines
         return ops <= self.max_ops and conditions <= self.max_conditions and self._bytes() < self.max_bytes
 
     def _bytes(self) -> int:
         return self._size + 160 * len(self.conditions)
 
-    def has_chunk(self, job: Job, number: int) -> bool:
-        return (job.id, number // job.size) in self._chunks
+    def edits_chunk(self, job: Job, number: int) -> bool:
+        return (job.id, number // job.chunk_size) in self._chunks
 
     def put(self, key: str, value: Any) -> None:
         self.require(key)
-        self.puts[key] = msgspec.json.encode(value)
-        self._size += 100 + len(self.puts[key] or b"")
+        self.writes[key] = msgspec.json.encode(value)
+        self._size += 100 + len(self.writes[key] or b"")
 
-    def drop_chunk(self, job: Job, index: int) -> None:
+    def delete_chunk(self, job: Job, index: int) -> None:
         """The job is over: its chunk goes, with whatever it held."""
         self._chunks.pop((job.id, index), None)
         self.require(rec.chunk_key(job.id, index), job.versions[index])
-        self.puts[rec.chunk_key(job.id, index)] = None
+        self.writes[rec.chunk_key(job.id, index)] = None
 
-    def drop(self, key: str) -> None:
+    def delete(self, key: str) -> None:
         self.require(key)
-        self.puts[key] = None
+        self.writes[key] = None
 
     def task(self, job: Job, number: int) -> rec.TaskRecord:
-        chunk = self._chunks.get((job.id, number // job.size))
-        return job.task(number) if chunk is None else chunk[number % job.size]
+        chunk = self._chunks.get((job.id, number // job.chunk_size))
+        return job.task(number) if chunk is None else chunk[number % job.chunk_size]
 
-    def holds(self, job: Job, number: int, machine: str) -> bool:
+    def task_fits(self, job: Job, number: int, machine: str) -> bool:
         """Whether the task's chunk, without its notes, still fits a value with this task on such a machine."""
-        index, offset = divmod(number, job.size)
+        index, offset = divmod(number, job.chunk_size)
         chunk = self._chunks.get((job.id, index)) or job.chunks.get(index)
         if chunk is None or len(chunk) * (rec.BARE_TASK_BYTES + len(machine)) <= self._most_value:
             return True
@@ -84,8 +84,8 @@
 
     def set_task(self, job: Job, number: int, record: rec.TaskRecord) -> None:
         """Change a task and, with it, what its team uses."""
-        index, offset = divmod(number, job.size)
-        if job.id in self.over:
+        index, offset = divmod(number, job.chunk_size)
+        if job.id in self.finished_jobs:
             return
         chunk = self._chunks.get((job.id, index))
         if chunk is None:
@@ -104,21 +104,21 @@
             used[0] += step * job.spec.cpus
             used[1] += step * job.spec.gpus
         if step > 0:
-            self.placing.add(job.spec.team)
+            self.placed_teams.add(job.spec.team)
             self.require(rec.team_key(job.spec.team))
 
     def _used(self, team: str) -> list[float]:
         used = self._teams.get(team)
         if used is None:
-            used = self._teams[team] = [*self.picture.used_by_team(team)]
+            used = self._teams[team] = [*self.cluster_state.used_by_team(team)]
         return used
 
-    def team_room(self, job: Job) -> int:
+    def remaining_team_tasks(self, job: Job) -> int:
         """How many more tasks of the job its team's limit allows."""
-        limit = self.picture.limits[job.spec.team]
-        used = self._teams.get(job.spec.team) or self.picture.used_by_team(job.spec.team)
+        limit = self.cluster_state.limits[job.spec.team]
+        used = self._teams.get(job.spec.team) or self.cluster_state.used_by_team(job.spec.team)
         room = job.spec.tasks
-        for need, most, now in ((job.spec.cpus, limit.most_cpus, used[0]), (job.spec.gpus, limit.most_gpus, used[1])):
+        for need, most, now in ((job.spec.cpus, limit.cpu_limit, used[0]), (job.spec.gpus, limit.gpu_limit, used[1])):
             if need > 0 and most < math.inf:
                 room = min(room, int((most - now + 1e-6) / need))
         return max(0, room)
@@ -130,7 +130,7 @@
             if len(value) > self._most_value:
                 # Notes are for people to read; without them it fits.
                 value = msgspec.json.encode(rec.ChunkRecord([_bare(task) for task in chunk]))
-            self.puts[rec.chunk_key(job, index)] = value
+            self.writes[rec.chunk_key(job, index)] = value
         self._chunks.clear()
         self._teams.clear()
-        return bool(self.puts)
+        return bool(self.writes)
--- a/src/gladecroft/bookkeeping/versions.py
+++ b/src/gladecroft/bookkeeping/versions.py
@@ -8,7 +8,7 @@
 TOMBSTONES = 20_000
 
 
-class Versions:
+class KeyVersions:
     def __init__(self) -> None:
         self._live: dict[str, int] = {}
         self._dead: OrderedDict[str, int] = OrderedDict()
--- a/src/gladecroft/cli.py
+++ b/src/gladecroft/cli.py
@@ -16,14 +16,21 @@
 from gladecroft import __version__
 from gladecroft.protocol import wire
 from gladecroft.protocol.operators import VIEW_PATH
-from gladecroft.protocol.settings import Operator, Platform, SettingsError, load_operator, load_platform, split_addr
+from gladecroft.protocol.settings import (
+    OperatorSettings,
+    PlatformSettings,
+    SettingsError,
+    load_operator,
+    load_platform,
+    parse_address,
+)
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 BAD_SETTINGS = 2
 UNREACHABLE = 3
 
 
-def _load(config: str, properties: str | None) -> tuple[Platform, Operator]:
+def _load(config: str, properties: str | None) -> tuple[PlatformSettings, OperatorSettings]:
     try:
         return load_platform(config), load_operator(properties)
     except SettingsError as error:
@@ -118,7 +125,7 @@
         click.echo(f"gladecroft: {job}: not a job's name", err=True)
         sys.exit(BAD_SETTINGS)
     try:
-        addr = split_addr(node, "--node")
+        addr = parse_address(node, "--node")
     except SettingsError as error:
         click.echo(f"gladecroft: {error}", err=True)
         sys.exit(BAD_SETTINGS)
--- a/src/gladecroft/coordination/admission/__init__.py
+++ b/src/gladecroft/coordination/admission/__init__.py
@@ -1,6 +1,6 @@
 """Who comes first in an overload, agreed among all controllers."""
 
-from gladecroft.coordination.admission.control import Admission
-from gladecroft.coordination.admission.tiers import Tiers
+from gladecroft.coordination.admission.control import AdmissionControl
+from gladecroft.coordination.admission.tiers import PriorityTiers
 
-__all__ = ["Admission", "Tiers"]
+__all__ = ["AdmissionControl", "PriorityTiers"]
--- a/src/gladecroft/coordination/admission/control.py
+++ b/src/gladecroft/coordination/admission/control.py
@@ -10,12 +10,19 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.workload import Group
-from gladecroft.coordination.admission.drf import Amounts
-from gladecroft.coordination.admission.fair_share import Held, Share, fair_shares, guarantees_exceed, is_short, starving
-from gladecroft.coordination.admission.tiers import Tiers
-from gladecroft.coordination.admission.window import TRIES_FOR, Flow, next_gate, parts_of_all, wait_of
-from gladecroft.coordination.context import Node
+from gladecroft.bookkeeping.workload import JobGroup
+from gladecroft.coordination.admission.drf import ResourceVector
+from gladecroft.coordination.admission.fair_share import (
+    FairShare,
+    GroupDemand,
+    fair_shares,
+    guarantees_exceed,
+    is_short,
+    starving,
+)
+from gladecroft.coordination.admission.tiers import PriorityTiers
+from gladecroft.coordination.admission.window import TRIES_FOR, JobFlow, next_gate, parts_of_all, wait_of
+from gladecroft.coordination.context import ControllerContext
 from gladecroft.coordination.membership import Membership
 from gladecroft.protocol import operators, wire
 from gladecroft.protocol.wire import JobSpec
@@ -43,30 +50,30 @@
 HEAD = 300
 
 
-class Admission:
+class AdmissionControl:
     """``capacity``: cores, cards and GB of the machines that are up or coming. ``patience``: seconds, by class."""
 
     def __init__(
         self,
-        node: Node,
+        context: ControllerContext,
         membership: Membership,
-        capacity: Callable[[], Amounts],
+        capacity: Callable[[], ResourceVector],
         patience: Callable[[str], float],
         most_jobs: int,
     ) -> None:
-        self.node = node
-        self.picture = node.picture
+        self.context = context
+        self.cluster_state = context.cluster_state
         self.membership = membership
         self._capacity = capacity
         self._patience = patience
         self._most_jobs = most_jobs
         #: Jobs that had come and gone of each group when the record was last written.
-        self._flow: tuple[dict[Group, int], dict[Group, int]] = ({}, {})
+        self._flow: tuple[dict[JobGroup, int], dict[JobGroup, int]] = ({}, {})
         self._looked_at = timedelta(days=-1)
         self._written_at = timedelta(days=-1)
         self._short_at = timedelta(days=-1)
         #: Since when each group has been below its floor.
-        self._since: dict[Group, timedelta] = {}
+        self._since: dict[JobGroup, timedelta] = {}
         self._led = False
         #: What is to be written next, whether it is still to be sent, and whether it is on its way.
         self._next: bytes | None = None
@@ -77,20 +84,24 @@
 
     def record(self) -> rec.AdmissionRecord | None:
         """What is agreed now. Without news of it a controller goes by the usual order."""
-        record = self.picture.admission
-        if record is None or record.until_s <= self.node.wall.timestamp():
+        record = self.cluster_state.admission
+        if record is None or record.until_s <= self.context.wall_time.timestamp():
             return None
         return record
 
-    def tiers(self) -> Tiers | None:
+    def tiers(self) -> PriorityTiers | None:
         """What the agreement makes of one round; None: nothing."""
         record = self.record()
-        return None if record is None else Tiers(record, self.picture.waiting.groups, self.picture.crowded)
+        return (
+            None
+            if record is None
+            else PriorityTiers(record, self.cluster_state.workload.groups, self.cluster_state.teams_over_guarantee)
+        )
 
     def epoch_changed(self) -> None:
         """Who has just come to lead goes on with what is agreed."""
-        epoch = self.picture.epoch
-        leads = epoch is not None and epoch.leader == self.node.name
+        epoch = self.cluster_state.epoch
+        leads = epoch is not None and epoch.leader == self.context.name
         if not (leads and self._led):
             self._since.clear()
             self._pressed = self.record() is not None
@@ -99,34 +110,37 @@
         self._led = leads
 
     def tick(self) -> None:
-        node = self.node
-        if not self.membership.leads():
+        context = self.context
+        if not self.membership.is_leader():
             return
-        if self._unsent and node.now >= self._send_at:
+        if self._unsent and context.now >= self._send_at:
             self._send()
-        if node.now - self._looked_at < LOOK_EVERY:
+        if context.now - self._looked_at < LOOK_EVERY:
             return
-        self._looked_at = node.now
-        if not self.picture.queued and self.picture.admission is None:
+        self._looked_at = context.now
+        if not self.cluster_state.queued_jobs and self.cluster_state.admission is None:
             self._since.clear()
             return
         self._look()
 
     def _look(self) -> None:
-        now = self.node.now
-        held = {group: Held((*use.used,), (*use.waiting,)) for group, use in self.picture.waiting.groups.items()}
+        now = self.context.now
+        held = {
+            group: GroupDemand((*use.used,), (*use.queued,))
+            for group, use in self.cluster_state.workload.groups.items()
+        }
         capacity = self._capacity()
-        many = len(self.picture.jobs) > MANY * self._most_jobs
+        many = len(self.cluster_state.jobs) > MANY * self._most_jobs
         if is_short(held, capacity) or many:
             self._short_at = now
         elif now - self._short_at >= CALM:
             self._since.clear()
             self._pressed = False
-            if self.picture.admission is not None:
+            if self.cluster_state.admission is not None:
                 self._put(None)
             return
-        shares = fair_shares(held, self.picture.limits, capacity)
-        below = starving(held, shares, capacity, self.picture.limits)
+        shares = fair_shares(held, self.cluster_state.limits, capacity)
+        below = starving(held, shares, capacity, self.cluster_state.limits)
         self._since = {group: self._since.get(group, now) for group in below}
         for group, since in self._since.items():
             patience = timedelta(seconds=min(self._patience(group[1]), LONGEST_PATIENCE.total_seconds()))
@@ -134,16 +148,16 @@
                 self._pressed = True
         self._pressed |= many
         if self._pressed:
-            self._agree(held, shares, guarantees_exceed(held, self.picture.limits, capacity))
+            self._agree(held, shares, guarantees_exceed(held, self.cluster_state.limits, capacity))
 
-    def _agree(self, held: dict[Group, Held], shares: dict[Group, Share], scarce: bool) -> None:
+    def _agree(self, held: dict[JobGroup, GroupDemand], shares: dict[JobGroup, FairShare], scarce: bool) -> None:
         """Write who comes first and who last, if that differs from what is agreed."""
         # All are named: who has more than its share now may be below it in a second, and who is not named would go on
         # evicting those that are. Those that lack most stand first, should a value not hold all.
         order = sorted(shares, key=lambda group: (held[group].used[0] / max(shares[group].floor, 1e-9), group))
         gates = self._gates()
         groups = [rec.GroupShare(*group, shares[group].floor, shares[group].share, *gates[group]) for group in order]
-        now, wall = self.node.now, int(self.node.wall.timestamp())
+        now, wall = self.context.now, int(self.context.wall_time.timestamp())
         before = self.record()
         lasts = before is not None and before.until_s - wall > COUNTS_FOR.total_seconds() / 2
         if now - self._written_at < WRITE_EVERY:
@@ -152,34 +166,34 @@
         if lasts and not shedding and before is not None and _alike(before.groups, groups):
             return
         record = rec.AdmissionRecord(
-            1 if self.picture.admission is None else self.picture.admission.generation + 1,
+            1 if self.cluster_state.admission is None else self.cluster_state.admission.generation + 1,
             "shedding" if shedding else "shaping",
             wall if before is None else before.since_s,
             wall + int(COUNTS_FOR.total_seconds()),
-            _fitting(groups, self.picture.value_bytes - HEAD),
+            _fitting(groups, self.cluster_state.max_value_bytes - HEAD),
             secrets.token_hex(8) if before is None else before.salt,
             scarce,
         )
         self._put(record)
 
-    def _gates(self) -> dict[Group, tuple[float, float, float]]:
+    def _gates(self) -> dict[JobGroup, tuple[float, float, float]]:
         """Whose submissions are taken next, by how many jobs each group has, and how fast they come and end."""
-        waiting = self.picture.waiting
+        waiting = self.cluster_state.workload
         jobs = {group: use.jobs for group, use in waiting.groups.items()}
         if sum(jobs.values()) <= MANY * self._most_jobs:
             return dict.fromkeys(jobs, (0.0, 1.0, 0.0))
         parts = parts_of_all(jobs, int(MOST * self._most_jobs))
-        span = max((self.node.now - self._written_at).total_seconds(), 1.0)
+        span = max((self.context.now - self._written_at).total_seconds(), 1.0)
         known = self._shares()
         came, gone = self._flow
         return {
             group: next_gate(
                 known.get(group),
-                Flow(
+                JobFlow(
                     count,
                     parts[group],
-                    max(0, waiting.came[group] - came.get(group, 0)) / span,
-                    max(0, waiting.gone[group] - gone.get(group, 0)) / span,
+                    max(0, waiting.arrivals[group] - came.get(group, 0)) / span,
+                    max(0, waiting.departures[group] - gone.get(group, 0)) / span,
                 ),
                 WRITE_EVERY.total_seconds(),
             )
@@ -187,13 +201,13 @@
         }
 
     def _note_flow(self) -> None:
-        self._flow = (dict(self.picture.waiting.came), dict(self.picture.waiting.gone))
+        self._flow = (dict(self.cluster_state.workload.arrivals), dict(self.cluster_state.workload.departures))
 
-    def _shares(self) -> dict[Group, rec.GroupShare]:
+    def _shares(self) -> dict[JobGroup, rec.GroupShare]:
         record = self.record()
         return {} if record is None else {(each.team, each.job_class): each for each in record.groups}
 
-    def wait_of(self, spec: JobSpec) -> int | None:
+    def retry_delay(self, spec: JobSpec) -> int | None:
         """None if a new job's submission is taken, else after how many seconds to try again: the same at every
         controller that goes by the same generation."""
         record = self.record()
@@ -202,25 +216,25 @@
         share = self._shares().get((spec.team, spec.job_class))
         return None if share is None else wait_of(share, record.salt, spec.id)
 
-    def show(self) -> operators.AdmissionShown:
+    def show(self) -> operators.AdmissionStatus:
         """What is agreed and what each group has, those first that wait for most."""
         record, shares = self.record(), self._shares()
         groups = []
-        for group, use in self.picture.waiting.groups.items():
+        for group, use in self.cluster_state.workload.groups.items():
             share = shares.get(group)
-            shown = operators.GroupShown(*group, use.jobs, round(use.used[0], 2), round(use.waiting[0], 2))
+            shown = operators.GroupStatus(*group, use.jobs, round(use.used[0], 2), round(use.queued[0], 2))
             if share is not None:
                 taken = 1.0 if share.width >= 1.0 else round(min(1.0, share.sweep * TRIES_FOR), 3)
                 shown = msgspec.structs.replace(shown, floor=share.floor, share=share.share, taken=taken)
             groups.append(shown)
         groups.sort(key=lambda each: (-each.waiting, each.team, each.job_class))
         if record is None:
-            return operators.AdmissionShown("open", 0, 0, 0, groups)
-        return operators.AdmissionShown(record.level, record.generation, record.since_s, record.until_s, groups)
+            return operators.AdmissionStatus("open", 0, 0, 0, groups)
+        return operators.AdmissionStatus(record.level, record.generation, record.since_s, record.until_s, groups)
 
     def _put(self, record: rec.AdmissionRecord | None) -> None:
         """Write what is next. What is agreed before counts for some time, should there be no change to be had."""
-        self._written_at = self.node.now
+        self._written_at = self.context.now
         self._note_flow()
         self._next = None if record is None else msgspec.json.encode(record)
         self._unsent = True
@@ -233,26 +247,26 @@
         It rests on the epoch and on the record that it follows. One whose outcome is not known can do no harm: if it
         was executed the watch tells, if it comes later its condition fails.
         """
-        node, value = self.node, self._next
-        conditions = [wire.Condition(key, self.picture.version(key)) for key in (rec.EPOCH, rec.ADMISSION)]
+        context, value = self.context, self._next
+        conditions = [wire.Condition(key, self.cluster_state.version(key)) for key in (rec.EPOCH, rec.ADMISSION)]
         op = wire.Delete(rec.ADMISSION) if value is None else wire.Put(rec.ADMISSION, msgspec.Raw(value))
 
         def then(status: int, body: bytes) -> None:
             self._busy = False
-            node.spend("admission" if status == 200 else f"refused ({status})")
+            context.count_writes("admission" if status == 200 else f"refused ({status})")
             if status == 200:
-                self.picture.apply(rec.ADMISSION, value, wire.decode(wire.TxnReply, body).revision)
+                self.cluster_state.apply(rec.ADMISSION, value, wire.decode(wire.TxnReply, body).revision)
                 self._tell()
             elif status in (-1, 429, 503):
                 # Certainly not executed. At once it would be refused again.
-                self._unsent, self._send_at = True, node.now + LOOK_EVERY
+                self._unsent, self._send_at = True, context.now + LOOK_EVERY
 
         body = wire.encode(wire.Txn(conditions, [op]))
-        if not self._busy and node.state("POST", wire.COMMIT_PATH, body, then, writes=1):
+        if not self._busy and context.call_state("POST", wire.COMMIT_PATH, body, then, writes=1):
             self._busy, self._unsent = True, False
 
     def _tell(self) -> None:
-        record = self.picture.admission
+        record = self.cluster_state.admission
         if record is None:
             log.info("admission: there is enough for all again")
             return
--- a/src/gladecroft/coordination/admission/drf.py
+++ b/src/gladecroft/coordination/admission/drf.py
@@ -14,42 +14,42 @@
 import msgspec
 
 #: Amounts of each resource, in the same order everywhere: cores, cards, memory in GB.
-Amounts = tuple[float, ...]
+ResourceVector = tuple[float, ...]
 
 TINY = 1e-9
 
 K = TypeVar("K", bound=Hashable)
 
 
-class Need(msgspec.Struct, frozen=True):
+class ResourceDemand(msgspec.Struct, frozen=True):
     """What a group could use at once, of each resource. ``guaranteed`` and ``most``: the parts of the need (0 to 1)
     that are its by right, and that its limit allows."""
 
-    amounts: Amounts
+    amounts: ResourceVector
     weight: float = 1.0
     guaranteed: float = 0.0
     most: float = 1.0
 
 
-def dominant(amounts: Amounts, capacity: Amounts) -> float:
+def dominant(amounts: ResourceVector, capacity: ResourceVector) -> float:
     """The largest part of any resource that the amounts take; resources of which there is none count for nothing."""
     return max((each / there for each, there in zip(amounts, capacity, strict=True) if there > 0), default=0.0)
 
 
-def fair_parts(needs: Mapping[K, Need], capacity: Amounts) -> dict[K, float]:
+def fair_parts(needs: Mapping[K, ResourceDemand], capacity: ResourceVector) -> dict[K, float]:
     """For each group the part of its need (0 to 1) that it gets.
 
     Guarantees that add up to more than there is are cut by the same factor. Properties (``test_admission``): nothing
     is used that is not there; each gets at least an even part of every resource, or what it needs; nobody would rather
     have another's part, or gets more by asking for more; what is left over nobody could use.
     """
-    return _Filling(needs, capacity).fill() if needs else {}
+    return _ProgressiveFilling(needs, capacity).fill() if needs else {}
 
 
-class _Filling(Generic[K]):
+class _ProgressiveFilling(Generic[K]):
     """Progressive filling: the level is the dominant share, over the weight, of all that still rise."""
 
-    def __init__(self, needs: Mapping[K, Need], capacity: Amounts) -> None:
+    def __init__(self, needs: Mapping[K, ResourceDemand], capacity: ResourceVector) -> None:
         self.needs = needs
         self.capacity = capacity
         self.height = {key: dominant(need.amounts, capacity) for key, need in needs.items()}
--- a/src/gladecroft/coordination/admission/fair_share.py
+++ b/src/gladecroft/coordination/admission/fair_share.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from gladecroft.bookkeeping.workload import Group
-from gladecroft.coordination.admission.drf import Amounts, Need, dominant, fair_parts
+from gladecroft.bookkeeping.workload import JobGroup
+from gladecroft.coordination.admission.drf import ResourceDemand, ResourceVector, dominant, fair_parts
 from gladecroft.protocol.settings import Team
 
 K = TypeVar("K", bound=Hashable)
@@ -22,58 +22,62 @@
 CLEARLY = 0.9
 
 
-class Held(msgspec.Struct, frozen=True):
+class GroupDemand(msgspec.Struct, frozen=True):
     """What a group's attempts hold and what its waiting tasks ask for, of each resource."""
 
-    used: Amounts
-    waiting: Amounts
+    used: ResourceVector
+    waiting: ResourceVector
 
     @property
-    def wanted(self) -> Amounts:
+    def wanted(self) -> ResourceVector:
         return _sum(self.used, self.waiting)
 
 
-class Share(msgspec.Struct, frozen=True):
+class FairShare(msgspec.Struct, frozen=True):
     """Cores: what is a group's fair share, and below what it comes first."""
 
     share: float
     floor: float
 
 
-def _sum(one: Amounts, other: Amounts) -> Amounts:
+def _sum(one: ResourceVector, other: ResourceVector) -> ResourceVector:
     return tuple(each + more for each, more in zip(one, other, strict=True))
 
 
-def fair_shares(held: Mapping[Group, Held], teams: Mapping[str, Team], capacity: Amounts) -> dict[Group, Share]:
+def fair_shares(
+    held: Mapping[JobGroup, GroupDemand], teams: Mapping[str, Team], capacity: ResourceVector
+) -> dict[JobGroup, FairShare]:
     """Each group's share of the cores there are, by what it needs, its team's guarantee and limit.
 
     A flood of one class is its own team's affair and, within the team, its own class's: neither takes from others more
     than their fair shares leave.
     """
-    of_team: dict[str, dict[Group, Held]] = {}
+    of_team: dict[str, dict[JobGroup, GroupDemand]] = {}
     for group, each in held.items():
         of_team.setdefault(group[0], {})[group] = each
     weights = _weights(teams)
-    needs: dict[str, Need] = {}
+    needs: dict[str, ResourceDemand] = {}
     for team, groups in of_team.items():
         wanted = _sum_all([each.wanted for each in groups.values()])
         limit = teams.get(team)
         guaranteed, most = (0.0, 1.0) if limit is None else _parts(limit, wanted)
-        needs[team] = Need(wanted, weights.get(team, 1.0), guaranteed, most)
+        needs[team] = ResourceDemand(wanted, weights.get(team, 1.0), guaranteed, most)
     parts = fair_parts(needs, capacity)
-    may_have = _due({team: _Got(need.amounts[0], parts[team], need.most, need.weight) for team, need in needs.items()})
-    shares: dict[Group, Share] = {}
+    may_have = _due(
+        {team: _Allocation(need.amounts[0], parts[team], need.most, need.weight) for team, need in needs.items()}
+    )
+    shares: dict[JobGroup, FairShare] = {}
     for team, part in parts.items():
         limit = teams.get(team)
-        due = may_have[team] if limit is None else min(may_have[team], limit.most_cpus)
+        due = may_have[team] if limit is None else min(may_have[team], limit.cpu_limit)
         there = tuple(each * part for each in needs[team].amounts)
-        wants = {group: Need(each.wanted) for group, each in of_team[team].items()}
+        wants = {group: ResourceDemand(each.wanted) for group, each in of_team[team].items()}
         within = fair_parts(wants, there)
-        due_within = _due({group: _Got(want.amounts[0], within[group]) for group, want in wants.items()})
+        due_within = _due({group: _Allocation(want.amounts[0], within[group]) for group, want in wants.items()})
         # What the team could have besides is any of its classes' that comes to need it.
         spare = max(0.0, due - there[0]) / len(wants)
         for group, cpus in due_within.items():
-            shares[group] = Share(round(cpus + spare, 3), round(FLOOR * (cpus + spare), 3))
+            shares[group] = FairShare(round(cpus + spare, 3), round(FLOOR * (cpus + spare), 3))
     return shares
 
 
@@ -84,7 +88,7 @@
     return {name: (team.cpus or least) / least for name, team in teams.items()}
 
 
-class _Got(msgspec.Struct, frozen=True):
+class _Allocation(msgspec.Struct, frozen=True):
     """Cores wanted, the part of them that is got, the most that it may be, and the weight."""
 
     wanted: float
@@ -93,7 +97,7 @@
     weight: float = 1.0
 
 
-def _due(got: Mapping[K, _Got]) -> dict[K, float]:
+def _due(got: Mapping[K, _Allocation]) -> dict[K, float]:
     """The cores that each would have by right: who has all that it wants could have as many, by its weight, as the
     least of those who have not.
 
@@ -108,16 +112,16 @@
     }
 
 
-def _parts(limit: Team, wanted: Amounts) -> tuple[float, float]:
+def _parts(limit: Team, wanted: ResourceVector) -> tuple[float, float]:
     """The parts of a team's need that its guarantee covers and that its limit allows."""
     by_right = (limit.cpus, limit.gpus)
-    allowed = (limit.most_cpus, limit.most_gpus)
+    allowed = (limit.cpu_limit, limit.gpu_limit)
     guaranteed = min((right / want for right, want in zip(by_right, wanted, strict=False) if want > 0), default=1.0)
     most = min((may / want for may, want in zip(allowed, wanted, strict=False) if want > 0), default=1.0)
     return min(1.0, guaranteed), min(1.0, most)
 
 
-def _sum_all(amounts: list[Amounts]) -> Amounts:
+def _sum_all(amounts: list[ResourceVector]) -> ResourceVector:
     total = amounts[0]
     for each in amounts[1:]:
         total = _sum(total, each)
@@ -125,8 +129,11 @@
 
 
 def starving(
-    held: Mapping[Group, Held], shares: Mapping[Group, Share], capacity: Amounts, teams: Mapping[str, Team]
-) -> list[Group]:
+    held: Mapping[JobGroup, GroupDemand],
+    shares: Mapping[JobGroup, FairShare],
+    capacity: ResourceVector,
+    teams: Mapping[str, Team],
+) -> list[JobGroup]:
     """Groups that wait and have clearly less than their floor, and less than half of what all have of what they want.
     Those come first that lack most of it.
 
@@ -139,24 +146,26 @@
         used[team] = used.get(team, 0.0) + each.used[0]
     wanted = sum(each.wanted[0] for each in held.values())
     part = min(1.0, capacity[0] / wanted) if wanted > 0 else 1.0
-    lacking: list[tuple[float, Group]] = []
+    lacking: list[tuple[float, JobGroup]] = []
     for group, share in shares.items():
         each = held[group]
         floor = min(share.floor, FLOOR * part * each.wanted[0])
         limit = teams.get(group[0])
-        if limit is not None and limit.most_cpus - used[group[0]] < NEAR_LIMIT * limit.most_cpus:
+        if limit is not None and limit.cpu_limit - used[group[0]] < NEAR_LIMIT * limit.cpu_limit:
             continue
         if each.waiting[0] > 0 and floor > 0 and each.used[0] < CLEARLY * floor:
             lacking.append((each.used[0] / floor, group))
     return [group for _, group in sorted(lacking)]
 
 
-def is_short(held: Mapping[Group, Held], capacity: Amounts) -> bool:
+def is_short(held: Mapping[JobGroup, GroupDemand], capacity: ResourceVector) -> bool:
     """Whether all that is wanted is more than there is of some resource."""
     return dominant(_sum_all([each.wanted for each in held.values()]), capacity) > 1 if held else False
 
 
-def guarantees_exceed(held: Mapping[Group, Held], teams: Mapping[str, Team], capacity: Amounts) -> bool:
+def guarantees_exceed(
+    held: Mapping[JobGroup, GroupDemand], teams: Mapping[str, Team], capacity: ResourceVector
+) -> bool:
     """Whether what teams want within their guarantees is more cores than there are."""
     wanted: dict[str, float] = {}
     for group, each in held.items():
--- a/src/gladecroft/coordination/admission/window.py
+++ b/src/gladecroft/coordination/admission/window.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from gladecroft.bookkeeping.records import GroupShare
-from gladecroft.bookkeeping.workload import Group
+from gladecroft.bookkeeping.workload import JobGroup
 
 K = TypeVar("K", bound=Hashable)
 
@@ -32,7 +32,7 @@
 FASTEST = 1.5
 
 
-class Flow(msgspec.Struct, frozen=True):
+class JobFlow(msgspec.Struct, frozen=True):
     """Of a group: unfinished jobs, its part of all that may be, and jobs a second that came and that ended lately."""
 
     jobs: int
@@ -59,7 +59,7 @@
     return int(max(1.0, min(LONGEST_WAIT, math.ceil(seconds) + 1)))
 
 
-def next_gate(before: GroupShare | None, flow: Flow, every: float) -> tuple[float, float, float]:
+def next_gate(before: GroupShare | None, flow: JobFlow, every: float) -> tuple[float, float, float]:
     """Begin, width and sweep of the next generation, which comes after ``every`` seconds.
 
     Of those who come, and try for a minute, the window takes the part of the circle that it covers in that minute.
@@ -81,13 +81,13 @@
     return round(begin, 6), round(min(0.999, GENERATIONS_WIDE * sweep * every), 6), round(sweep, 6)
 
 
-def parts_of_all(jobs: Mapping[Group, int], most: int) -> dict[Group, float]:
+def parts_of_all(jobs: Mapping[JobGroup, int], most: int) -> dict[JobGroup, float]:
     """How many unfinished jobs each group may have if there may be ``most`` in all: max-min by count, teams first. What
     one team or class leaves goes to the others, and one that asks for little is never refused."""
-    teams: dict[str, dict[Group, int]] = {}
+    teams: dict[str, dict[JobGroup, int]] = {}
     for group, count in jobs.items():
         teams.setdefault(group[0], {})[group] = count
-    parts: dict[Group, float] = {}
+    parts: dict[JobGroup, float] = {}
     of_team = levels({team: float(sum(counts.values())) for team, counts in teams.items()}, float(most))
     for team, counts in teams.items():
         parts.update(levels({group: float(count) for group, count in counts.items()}, of_team[team]))
--- a/src/gladecroft/coordination/consent.py
+++ b/src/gladecroft/coordination/consent.py
@@ -24,8 +24,8 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.coordination.context import SLACK, Node
-from gladecroft.coordination.events import Asked
+from gladecroft.coordination.context import CLOCK_SKEW_FACTOR, ControllerContext
+from gladecroft.coordination.events import IncomingRequest
 from gladecroft.coordination.membership import Membership
 from gladecroft.protocol import peers, wire
 
@@ -40,11 +40,11 @@
 LONG_AGO = timedelta(days=-1)
 
 
-class Consent:
-    def __init__(self, node: Node, membership: Membership) -> None:
-        self.node = node
+class PeerConsent:
+    def __init__(self, context: ControllerContext, membership: Membership) -> None:
+        self.context = context
         self.membership = membership
-        self._siblings = [peer.name for peer in node.platform.peers]
+        self._siblings = [peer.name for peer in context.platform.peers]
         #: When the last request was sent to which a sibling has consented, under this epoch.
         self._given: dict[str, timedelta] = {}
         #: The same for the last consent that told of all cancellations.
@@ -52,22 +52,22 @@
         self._asking: set[str] = set()
         self._asked_at = LONG_AGO
         self._until = LONG_AGO
-        workers = node.cluster.workers
+        workers = context.cluster.workers
         room = timedelta(seconds=workers.cancel_s - workers.lease_s)
-        self._longest = OLD_NEWS * room / SLACK
+        self._longest = OLD_NEWS * room / CLOCK_SKEW_FACTOR
         self._possible = (1 - OLD_NEWS) * room >= LEFT_AT_LEAST
         if not self._possible and self._siblings:
             log.info("cancel_s leaves %g s after lease_s: too little to answer machines by consent in an outage",
                      room.total_seconds())  # fmt: skip
 
-    def answers(self) -> bool:
+    def may_answer_machines(self) -> bool:
         """Whether this controller may answer its machines: entitled to act, or with the consent of all siblings."""
-        return self.membership.entitled() or self.membership.caught_up() and self.node.now < self._until
+        return self.membership.is_active() or self.membership.caught_up() and self.context.now < self._until
 
     def outage(self) -> bool:
         """Whether every sibling has lately said that the state service does not serve it either."""
-        lately = self.node.now - self.node.ttl / 2
-        return self.node.unserved() and all(self._given.get(name, LONG_AGO) > lately for name in self._siblings)
+        lately = self.context.now - self.context.member_ttl / 2
+        return self.context.unserved() and all(self._given.get(name, LONG_AGO) > lately for name in self._siblings)
 
     def epoch_changed(self) -> None:
         """What was said of an earlier epoch counts no more."""
@@ -76,98 +76,102 @@
         self._until = LONG_AGO
 
     def tick(self) -> None:
-        node, membership = self.node, self.membership
+        context, membership = self.context, self.membership
         epoch = membership.epoch
-        if not node.unserved():
+        if not context.unserved():
             # Off while the state service answers: nothing is asked, and what was said before is not built on later.
             self._given.clear()
             self._told_all.clear()
-            if node.now >= self._until:
+            if context.now >= self._until:
                 self._until = LONG_AGO
             return
-        if epoch is None or not membership.member() or not self._siblings:
+        if epoch is None or not membership.is_member() or not self._siblings:
             return
         if self._possible:
             self._extend()
-        if node.now - self._asked_at >= node.ttl / ASKS_A_LEASE:
-            self._asked_at = node.now
+        if context.now - self._asked_at >= context.member_ttl / ASKS_A_LEASE:
+            self._asked_at = context.now
             for name in self._siblings:
                 if name not in self._asking:
                     self._ask(name, epoch.number)
 
     def _extend(self) -> None:
-        node = self.node
-        right = max(self._until, self.membership.entitled_until)
-        if node.now >= right:
+        context = self.context
+        right = max(self._until, self.membership.active_until)
+        if context.now >= right:
             return  # lapsed: somebody may have acted on it; only a good renewal brings the right back
         oldest = min(self._given.get(name, LONG_AGO) for name in self._siblings)
         # Who tells a user of a cancellation knows it. So one that is not known here was told after this.
         told_all = min(self._told_all.get(name, LONG_AGO) for name in self._siblings)
-        until = min(oldest + node.ttl / SLACK, max(self.membership.renewed_at, told_all) + self._longest)
+        until = min(
+            oldest + context.member_ttl / CLOCK_SKEW_FACTOR, max(self.membership.renewed_at, told_all) + self._longest
+        )
         if until > right:
             if self._until == LONG_AGO:
                 log.info("the state service serves nobody: machines are answered by consent of all siblings")
             self._until = until
 
     def _ask(self, name: str, epoch: int) -> None:
-        sent = self.node.now
+        sent = self.context.now
 
         def then(status: int, body: bytes) -> None:
             self._asking.discard(name)
             if status != 200:
                 return
             try:
-                answer: peers.Consented = wire.decode(peers.Consented, body)
+                answer: peers.ConsentReply = wire.decode(peers.ConsentReply, body)
             except msgspec.DecodeError as error:
                 log.error("%s answers with what is no consent: %s", name, error)
                 return
             for cancelled in answer.cancelled:
                 self._take_cancelled(cancelled)
             now_epoch = self.membership.epoch
-            if now_epoch is not None and now_epoch.number == epoch and self.node.unserved():
+            if now_epoch is not None and now_epoch.number == epoch and self.context.unserved():
                 self._given[name] = max(sent, self._given.get(name, LONG_AGO))
                 if answer.complete:
                     self._told_all[name] = max(sent, self._told_all.get(name, LONG_AGO))
 
-        wanted = peers.ConsentWanted(epoch, self.node.picture.revision)
-        if self.node.peer(name, peers.CONSENT_PATH, wire.encode(wanted), then):
+        wanted = peers.ConsentRequest(epoch, self.context.cluster_state.revision)
+        if self.context.call_peer(name, peers.CONSENT_PATH, wire.encode(wanted), then):
             self._asking.add(name)
 
     def _take_cancelled(self, cancelled: peers.CancelledJob) -> None:
         """Take in a committed record that the watch has not brought: a cancellation changes nothing but its mark, so
         name and revision are the whole of it."""
-        picture = self.node.picture
-        job = picture.jobs.get(cancelled.job)
+        cluster_state = self.context.cluster_state
+        job = cluster_state.jobs.get(cancelled.job)
         if job is not None and not job.cancelled and cancelled.version > job.version:
             record = msgspec.structs.replace(job.record, cancelled=True)
-            picture.apply(rec.job_key(job.id), msgspec.json.encode(record), cancelled.version)
+            cluster_state.apply(rec.job_key(job.id), msgspec.json.encode(record), cancelled.version)
             log.info("job %s: cancelled, as a sibling tells", job.id)
 
-    def asked(self, asked: Asked) -> None:
+    def asked(self, request: IncomingRequest) -> None:
         """A sibling asks whether it may go on under its epoch.
 
         Not if the state service serves this controller: then the sibling alone is refused and is to be replaced. Not if
         a newer epoch was ever known here: under that one its machines may be another's.
         """
-        wanted = self.node.read(asked, peers.ConsentWanted)
+        wanted = self.context.decode_request(request, peers.ConsentRequest)
         if wanted is None:
             return
-        if not self.node.unserved():
-            self.node.refuse(asked.number, 409, "the state service answers here")
+        if not self.context.unserved():
+            self.context.reply_error(request.request_id, 409, "the state service answers here")
         elif self.membership.newest_epoch() > wanted.epoch:
-            self.node.refuse(asked.number, 409, "a newer epoch is known here")
+            self.context.reply_error(request.request_id, 409, "a newer epoch is known here")
         else:
-            self.node.reply(asked.number, 200, wire.encode(self._consent(wanted.revision)))
+            self.context.reply(request.request_id, 200, wire.encode(self._build_reply(wanted.revision)))
 
-    def _consent(self, revision: int | None) -> peers.Consented:
+    def _build_reply(self, revision: int | None) -> peers.ConsentReply:
         """All that this controller has told users was in its picture before; if it was started again meanwhile, in the
         records that it has read since. Of jobs that are over there is nothing left to stop."""
-        node = self.node
-        if revision is None or not node.loaded:
-            return peers.Consented()
+        context = self.context
+        if revision is None or not context.records_loaded:
+            return peers.ConsentReply()
         newer = [
             peers.CancelledJob(job.id, job.version)
-            for job in node.picture.jobs.values()
+            for job in context.cluster_state.jobs.values()
             if job.cancelled and job.version > revision
         ]
-        return peers.Consented(newer[: peers.MOST_CANCELLED], len(newer) <= peers.MOST_CANCELLED)
+        return peers.ConsentReply(
+            newer[: peers.MAX_CANCELLED_PER_MESSAGE], len(newer) <= peers.MAX_CANCELLED_PER_MESSAGE
+        )
--- a/src/gladecroft/coordination/context.py
+++ b/src/gladecroft/coordination/context.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from gladecroft.bookkeeping.cluster_state import Picture
-from gladecroft.coordination.events import Asked, Call, Effect, Reply, Target
+from gladecroft.bookkeeping.cluster_state import ClusterState
+from gladecroft.coordination.events import Effect, IncomingRequest, OutgoingCall, Reply, Target
 from gladecroft.policies import Panel, switched_on
-from gladecroft.protocol.settings import DRIFT, Operator, Platform, member_ttl
-from gladecroft.protocol.wire import Refusal, decode, encode
+from gladecroft.protocol.settings import MAX_CLOCK_DRIFT, OperatorSettings, PlatformSettings, member_ttl
+from gladecroft.protocol.wire import ErrorReply, decode, encode
 
 log = logging.getLogger(__name__)
 
@@ -23,77 +23,77 @@
 
 ZERO = timedelta()
 STATE_LIMIT = timedelta(seconds=1.2)
-CLOUD_LIMIT = timedelta(seconds=6)
+CLOUD_TIMEOUT = timedelta(seconds=6)
 WORKER_LIMIT = timedelta(seconds=2)
 PEER_LIMIT = timedelta(seconds=1)
 #: How long after a request that was not served it is made again.
-RETRY = timedelta(seconds=0.4)
+RETRY_DELAY = timedelta(seconds=0.4)
 #: The part of the writes that is shared evenly, whatever the work.
 EVEN = 0.4
 LEND = 1.7
 LEND_AFTER = timedelta(seconds=10)
 ACCOUNT_EVERY = timedelta(seconds=30)
 #: Two steady clocks may disagree by twice the drift of one.
-SLACK = 1 + 2 * DRIFT
+CLOCK_SKEW_FACTOR = 1 + 2 * MAX_CLOCK_DRIFT
 
 
-class Budget:
+class TokenBucket:
     """A token bucket."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate = rate
         self.burst = max(1.0, burst)
-        self.level = self.burst
+        self.tokens = self.burst
         self._at = ZERO
 
     def set(self, rate: float, burst: float) -> None:
         self.rate, self.burst = rate, max(1.0, burst)
-        self.level = min(self.level, self.burst)
+        self.tokens = min(self.tokens, self.burst)
 
-    def look(self, now: timedelta) -> float:
+    def available(self, now: timedelta) -> float:
         if now > self._at:
-            self.level = min(self.burst, self.level + self.rate * (now - self._at).total_seconds())
+            self.tokens = min(self.burst, self.tokens + self.rate * (now - self._at).total_seconds())
             self._at = now
-        return self.level
+        return self.tokens
 
     def take(self, now: timedelta, amount: float = 1.0, floor: float = 0.0) -> bool:
         """Take if that leaves at least ``floor``; an amount over the burst waits for a full bucket."""
-        if self.look(now) < min(amount + floor, self.burst):
+        if self.available(now) < min(amount + floor, self.burst):
             return False
-        self.level -= amount
+        self.tokens -= amount
         return True
 
 
-class Node:
+class ControllerContext:
     """One controller's shared ground. Its methods only note effects; nothing here waits."""
 
-    def __init__(self, platform: Platform, operator: Operator) -> None:
+    def __init__(self, platform: PlatformSettings, operator_settings: OperatorSettings) -> None:
         self.platform = platform
-        self.operator = operator
+        self.operator_settings = operator_settings
         self.cluster = platform.cluster
         self.name = platform.name
         self.now = ZERO
-        self.wall = datetime.fromtimestamp(0, UTC)
-        self.ttl = member_ttl(operator, platform)
-        self.lease = timedelta(seconds=self.cluster.workers.lease_s)
-        self.report = timedelta(seconds=self.cluster.workers.report_s)
-        self.picture = Picture(self.cluster.teams, self.cluster.state.value_kb)
+        self.wall_time = datetime.fromtimestamp(0, UTC)
+        self.member_ttl = member_ttl(operator_settings, platform)
+        self.machine_lease = timedelta(seconds=self.cluster.workers.lease_s)
+        self.report_interval = timedelta(seconds=self.cluster.workers.report_s)
+        self.cluster_state = ClusterState(self.cluster.teams, self.cluster.state.value_kb)
         #: The policies that are switched on, as one; None: none is.
-        self.panel: Panel | None = switched_on(operator.policy_names())
+        self.panel: Panel | None = switched_on(operator_settings.policy_names())
         if self.panel is not None:
-            self.picture.policy_news, self.picture.policy_reset = self.panel.take, self.panel.forget
-        self.loaded = False
-        self.state_ok_at: timedelta | None = None
+            self.cluster_state.on_policy_change, self.cluster_state.on_policy_reset = self.panel.take, self.panel.forget
+        self.records_loaded = False
+        self.state_served_at: timedelta | None = None
         self.state_bad_since: timedelta | None = None
         nodes = len(platform.peers) + 1
         state, cloud = self.cluster.state, self.cluster.cloud
-        self.requests = Budget(state.rps / nodes, state.rps / nodes)
-        self.writes = Budget(state.write_rps / nodes, state.write_rps / nodes)
-        self.cloud_calls = Budget(cloud.rps / nodes, cloud.rps)
+        self.state_requests = TokenBucket(state.rps / nodes, state.rps / nodes)
+        self.state_writes = TokenBucket(state.write_rps / nodes, state.write_rps / nodes)
+        self.cloud_calls = TokenBucket(cloud.rps / nodes, cloud.rps)
         #: Acceptances and the ledger take turns at the writes while both want more than there are.
-        self.users_want = self.ledger_wants = False
-        self.ledgers_turn = True
-        self._write_share = self.writes.rate
+        self.users_need_writes = self.state_writer_needs_writes = False
+        self.state_writer_first = True
+        self._write_share = self.state_writes.rate
         self._live = nodes
         self._refused_at: timedelta | None = None
         self._peer_addrs = {peer.name: peer.peer_addr for peer in platform.peers}
@@ -104,7 +104,7 @@
         self._spent: Counter[str] = Counter()
         self._account_at = ZERO
 
-    def spend(self, cause: str, amount: int = 1) -> None:
+    def count_writes(self, cause: str, amount: int = 1) -> None:
         self._spent[cause] += amount
 
     def account(self) -> None:
@@ -121,30 +121,30 @@
         """Divide the state service's and the cloud's budgets among the live controllers."""
         state, cloud = self.cluster.state, self.cluster.cloud
         part = 0.95 / max(1, live)
-        self.requests.set(state.rps * part, state.rps * part)
+        self.state_requests.set(state.rps * part, state.rps * part)
         self._live = max(1, live)
-        self.weigh(1 / self._live)
+        self.set_write_share(1 / self._live)
         # Only the leader rents and lists; the others ask for the machine types now and then.
         few = 0.05 * max(0, live - 1)
         self.cloud_calls.set(cloud.rps * (0.9 - few if leader else 0.05), cloud.rps if leader else 1.0)
 
-    def weigh(self, work: float) -> None:
+    def set_write_share(self, work: float) -> None:
         """Most writes are made by the homes of waiting and running jobs: they are shared by how much of all that work
         (0 to 1) is placed here, the rest evenly. All controllers see nearly the same work, so the shares add up."""
         even = EVEN / self._live
         self._write_share = 0.95 * self.cluster.state.write_rps * (even + (1 - EVEN) * work)
-        self.lend()
+        self.update_write_rate()
 
-    def lend(self) -> None:
+    def update_write_rate(self) -> None:
         """Controllers are seldom busy all at once: as long as none is refused, each may use more than its share."""
         state = self.cluster.state
         most = 0.9 * state.write_rps
         calm = self._refused_at is None or self.now - self._refused_at > LEND_AFTER
         share = min(most, self._write_share * (LEND if calm else 1.0))
-        if share != self.writes.rate:
+        if share != self.state_writes.rate:
             # Where many share few changes, a second's worth of a share may be less than one transaction: then nothing
             # that needs several would ever begin. The service allows bursts, and seldom do all want one at once.
-            self.writes.set(share, max(share, min(state.txn_ops / 2, state.write_rps / 4)))
+            self.state_writes.set(share, max(share, min(state.txn_ops / 2, state.write_rps / 4)))
 
     # Calls ---------------------------------------------------------------------------------------------------
 
@@ -160,9 +160,9 @@
     ) -> None:
         self._next_call += 1
         self._calls[self._next_call] = (then, target)
-        self._effects.append(Call(self._next_call, target, method, path, body, limit, addr))
+        self._effects.append(OutgoingCall(self._next_call, target, method, path, body, limit, addr))
 
-    def state(
+    def call_state(
         self,
         method: str,
         path: str,
@@ -171,36 +171,36 @@
         *,
         writes: int = 0,
         urgent: bool = False,
-        floor: float = 4.0,
+        reserve: float = 4.0,
     ) -> bool:
         """Ask the state service. False if the budget does not allow it now: ``floor`` requests are left to others;
         renewals are ``urgent``."""
-        floor = 0.0 if urgent else min(floor, self.requests.burst / 4)
-        if self.requests.look(self.now) < 1 + floor and not urgent:
+        reserve = 0.0 if urgent else min(reserve, self.state_requests.burst / 4)
+        if self.state_requests.available(self.now) < 1 + reserve and not urgent:
             return False
-        if writes and not self.writes.take(self.now, writes):
+        if writes and not self.state_writes.take(self.now, writes):
             return False
-        self.requests.level -= 1  # renewals may overdraw
+        self.state_requests.tokens -= 1  # renewals may overdraw
         self._call(Target.STATE, method, path, body, STATE_LIMIT, then)
         return True
 
-    def apart(self, part: float, least: timedelta) -> timedelta:
+    def min_interval(self, part: float, least: timedelta) -> timedelta:
         """How long apart requests to the state service are that may take up at most this part of the budget."""
-        return max(least, timedelta(seconds=1 / (part * max(1.0, self.requests.rate))))
+        return max(least, timedelta(seconds=1 / (part * max(1.0, self.state_requests.rate))))
 
-    def cloud(self, method: str, path: str, body: bytes | None, then: Handler) -> bool:
+    def call_cloud(self, method: str, path: str, body: bytes | None, then: Handler) -> bool:
         if not self.cloud_calls.take(self.now):
             return False
-        self._call(Target.CLOUD, method, path, body, CLOUD_LIMIT, then)
+        self._call(Target.CLOUD, method, path, body, CLOUD_TIMEOUT, then)
         return True
 
-    def worker(self, addr: str, path: str, body: bytes, then: Handler) -> None:
+    def post_to_worker(self, addr: str, path: str, body: bytes, then: Handler) -> None:
         self._call(Target.WORKER, "POST", path, body, WORKER_LIMIT, then, addr)
 
-    def ask_worker(self, addr: str, path: str, then: Handler) -> None:
+    def get_from_worker(self, addr: str, path: str, then: Handler) -> None:
         self._call(Target.WORKER, "GET", path, None, WORKER_LIMIT, then, addr)
 
-    def peer(self, name: str, path: str, body: bytes, then: Handler) -> bool:
+    def call_peer(self, name: str, path: str, body: bytes, then: Handler) -> bool:
         """Tell a sibling something; False if its address is not known."""
         addr = self._peer_addrs.get(name)
         if addr is None:
@@ -215,10 +215,10 @@
         then, target = known
         if target is Target.STATE:
             if status in (200, 400, 404, 409, 410):
-                self.state_ok_at, self.state_bad_since = self.now, None
+                self.state_served_at, self.state_bad_since = self.now, None
             elif status == 429:
                 self._refused_at = self.now
-                self.lend()
+                self.update_write_rate()
             elif self.state_bad_since is None:
                 self.state_bad_since = self.now
         then(status, body)
@@ -229,7 +229,7 @@
 
     def state_down(self) -> bool:
         """The state service has not served this controller for a while."""
-        if self.state_ok_at is None:
+        if self.state_served_at is None:
             return True
         return self.state_bad_since is not None and self.now - self.state_bad_since > timedelta(seconds=1)
 
@@ -238,17 +238,17 @@
     def reply(self, number: int, status: int, body: bytes = b"", retry_after: int | None = None) -> None:
         self._effects.append(Reply(number, status, body, retry_after))
 
-    def refuse(self, number: int, status: int, why: str, retry_after: int | None = None) -> None:
-        self.reply(number, status, encode(Refusal(why)), retry_after)
+    def reply_error(self, number: int, status: int, why: str, retry_after: int | None = None) -> None:
+        self.reply(number, status, encode(ErrorReply(why)), retry_after)
 
-    def read(self, asked: Asked, type_: type[T]) -> T | None:
+    def decode_request(self, request: IncomingRequest, type_: type[T]) -> T | None:
         """What another controller or a machine says; None: it is malformed, or of a version that can't be read, and is
         refused with 400."""
         try:
-            message: T = decode(type_, asked.body)
+            message: T = decode(type_, request.body)
         except msgspec.DecodeError as error:
-            log.error("%s: refused what can't be read: %s", asked.verb.value, error)
-            self.refuse(asked.number, 400, str(error))
+            log.error("%s: refused what can't be read: %s", request.kind.value, error)
+            self.reply_error(request.request_id, 400, str(error))
             return None
         return message
 
--- a/src/gladecroft/coordination/core.py
+++ b/src/gladecroft/coordination/core.py
@@ -6,60 +6,73 @@
 from typing import Any
 
 from gladecroft.bookkeeping.records import MachineUse
-from gladecroft.coordination.admission import Admission
-from gladecroft.coordination.consent import Consent
-from gladecroft.coordination.context import Node
-from gladecroft.coordination.events import Answered, Asked, Clock, Effect, Event, Verb, Watched, by_urgency
-from gladecroft.coordination.fleet import Fleet
-from gladecroft.coordination.machines import Keeper
+from gladecroft.coordination.admission import AdmissionControl
+from gladecroft.coordination.consent import PeerConsent
+from gladecroft.coordination.context import ControllerContext
+from gladecroft.coordination.events import (
+    CallResult,
+    ClockReading,
+    Effect,
+    Event,
+    IncomingRequest,
+    RequestKind,
+    WatchResult,
+    user_requests_last,
+)
+from gladecroft.coordination.fleet import Autoscaler
+from gladecroft.coordination.machines import MachineManager
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.operator_commands import Orders
-from gladecroft.coordination.scheduling import Placers
-from gladecroft.coordination.state_writer import Ledger
-from gladecroft.coordination.users import Users
+from gladecroft.coordination.operator_commands import OperatorCommands
+from gladecroft.coordination.scheduling import Scheduler
+from gladecroft.coordination.state_writer import StateWriter
+from gladecroft.coordination.users import UserRequestHandler
 from gladecroft.coordination.users.handler import JOBS_PER_MB
-from gladecroft.protocol.settings import Operator, Platform
+from gladecroft.protocol.settings import OperatorSettings, PlatformSettings
 from gladecroft.protocol.wire import encode
 
 log = logging.getLogger(__name__)
 
 
 class Core:
-    def __init__(self, platform: Platform, operator: Operator) -> None:
-        self.node = Node(platform, operator)
-        self.membership = Membership(self.node)
-        self.consent = Consent(self.node, self.membership)
-        self.ledger = Ledger(self.node, self.membership)
-        self.keeper = Keeper(self.node, self.membership, self.ledger, self.consent)
-        self.placers = Placers(self.node, self.membership, self.keeper, self.ledger)
-        self.fleet = Fleet(self.node, self.membership, self.keeper, self.ledger, self.placers)
+    def __init__(self, platform: PlatformSettings, operator_settings: OperatorSettings) -> None:
+        self.context = ControllerContext(platform, operator_settings)
+        self.membership = Membership(self.context)
+        self.consent = PeerConsent(self.context, self.membership)
+        self.state_writer = StateWriter(self.context, self.membership)
+        self.machine_manager = MachineManager(self.context, self.membership, self.state_writer, self.consent)
+        self.scheduler = Scheduler(self.context, self.membership, self.machine_manager, self.state_writer)
+        self.autoscaler = Autoscaler(
+            self.context, self.membership, self.machine_manager, self.state_writer, self.scheduler
+        )
         #: None: it is switched off.
-        self.admission: Admission | None = None
-        if operator.admission:
-            patience = self.placers.queue.patience
-            most_jobs = int(JOBS_PER_MB * self.node.cluster.limits.memory_mb)
-            self.admission = Admission(self.node, self.membership, self.fleet.capacity, patience, most_jobs)
-            self.placers.agreed = self.admission.tiers
-        self.users = Users(self.node, self.membership, self.placers.fits)
-        self.users.desk.reason = self.placers.reason
+        self.admission: AdmissionControl | None = None
+        if operator_settings.admission:
+            patience = self.scheduler.ordering.target_wait
+            most_jobs = int(JOBS_PER_MB * self.context.cluster.limits.memory_mb)
+            self.admission = AdmissionControl(
+                self.context, self.membership, self.autoscaler.capacity, patience, most_jobs
+            )
+            self.scheduler.current_tiers = self.admission.tiers
+        self.users = UserRequestHandler(self.context, self.membership, self.scheduler.infeasible_reason)
+        self.users.pending.wait_reason = self.scheduler.wait_reason
         if self.admission is not None:
-            self.users.wait_of = self.admission.wait_of
-        self.orders = Orders(self.node, self.membership, self.ledger)
+            self.users.retry_delay = self.admission.retry_delay
+        self.operator_commands = OperatorCommands(self.context, self.membership, self.state_writer)
 
-    def step(self, clock: Clock, events: list[Event]) -> list[Effect]:
+    def step(self, clock: ClockReading, events: list[Event]) -> list[Effect]:
         """Take in a batch of events and say what is to be done."""
-        node = self.node
-        node.now, node.wall = clock.steady, clock.wall
-        if node.panel is not None:
-            node.panel.begin(clock.wall)
-        for event in events if self.admission is None else by_urgency(events):
+        context = self.context
+        context.now, context.wall_time = clock.monotonic, clock.wall
+        if context.panel is not None:
+            context.panel.begin(clock.wall)
+        for event in events if self.admission is None else user_requests_last(events):
             try:
-                self._take(event)
+                self._handle_event(event)
             except Exception:
                 # One message that trips a fault must not end the controller: what matters is in the state service.
                 log.exception("fault while handling %s", type(event).__name__)
-                if isinstance(event, Asked):
-                    node.refuse(event.number, 500, "internal fault")
+                if isinstance(event, IncomingRequest):
+                    context.reply_error(event.request_id, 500, "internal fault")
             # At once, not at the end of the batch: a report handled between the news of an epoch and what follows
             # from it would be judged by what held before, and its machine's ownership dated too early.
             self._follow_epoch()
@@ -67,20 +80,20 @@
         self._follow_epoch()
         self.consent.tick()
         self.users.tick()
-        if node.panel is not None:
-            self.orders.tick()
-        self.keeper.tick()
-        self.fleet.tick()
+        if context.panel is not None:
+            self.operator_commands.tick()
+        self.machine_manager.check_silence()
+        self.autoscaler.tick()
         if self.admission is not None:
             self._agree(self.admission)
-        self.ledger.ends.tell()
-        self.ledger.flush()
-        self.keeper.work()
-        self.node.account()
-        return node.take_effects()
+        self.state_writer.exit_tracker.notify_homes()
+        self.state_writer.flush()
+        self.machine_manager.push_commands()
+        self.context.account()
+        return context.take_effects()
 
     @staticmethod
-    def _agree(admission: Admission) -> None:
+    def _agree(admission: AdmissionControl) -> None:
         try:
             admission.tick()
         except Exception:
@@ -92,83 +105,87 @@
         if self.membership.changed:
             self.membership.changed = False
             self.consent.epoch_changed()
-            self.ledger.epoch_changed(self.membership.continuous)
-            self.keeper.epoch_changed(self.membership.continuous)
-            self.placers.floor.all_stale()
-            self.fleet.epoch_changed()
+            self.state_writer.epoch_changed(self.membership.epoch_continuous)
+            self.machine_manager.epoch_changed(self.membership.epoch_continuous)
+            self.scheduler.candidate_cache.invalidate_all()
+            self.autoscaler.epoch_changed()
             if self.admission is not None:
                 self.admission.epoch_changed()
 
-    def _take(self, event: Event) -> None:
-        if isinstance(event, Answered):
-            self.node.answered(event.call, event.status, event.body)
-        elif isinstance(event, Watched):
+    def _handle_event(self, event: Event) -> None:
+        if isinstance(event, CallResult):
+            self.context.answered(event.call, event.status, event.body)
+        elif isinstance(event, WatchResult):
             self.membership.watched(event)
         else:
             self._asked(event)
 
-    def _asked(self, asked: Asked) -> None:
-        if asked.verb is Verb.REPORT:
-            self.keeper.reported(asked)
-        elif asked.verb is Verb.HEALTH:
+    def _asked(self, request: IncomingRequest) -> None:
+        if request.kind is RequestKind.REPORT:
+            self.machine_manager.handle_report(request)
+        elif request.kind is RequestKind.HEALTH:
             if self.healthy():
-                self.node.reply(asked.number, 200, b"{}")
+                self.context.reply(request.request_id, 200, b"{}")
             else:
-                self.node.refuse(asked.number, 503, "can't take requests now", 1)
-        elif asked.verb is Verb.ENDED:
-            self.ledger.ends.told(asked)
-        elif asked.verb is Verb.HEARD:
-            self.keeper.told(asked)
-        elif asked.verb is Verb.HEARS:
-            self.keeper.visits.hears(asked)
-        elif asked.verb is Verb.CONSENT:
-            self.consent.asked(asked)
-        elif asked.verb is Verb.CORDONS:
-            self.orders.show(asked)
-        elif asked.verb is Verb.CORDON:
-            self.orders.asked(asked)
-        elif asked.verb is Verb.ADMISSION:
-            self._show_admission(asked)
-        elif asked.verb is Verb.VIEW:
-            self.node.reply(asked.number, 200, encode(self.view()))
+                self.context.reply_error(request.request_id, 503, "can't take requests now", 1)
+        elif request.kind is RequestKind.ATTEMPTS_ENDED:
+            self.state_writer.exit_tracker.handle_ended(request)
+        elif request.kind is RequestKind.MACHINES_REPORTED:
+            self.machine_manager.handle_announcement(request)
+        elif request.kind is RequestKind.QUERY_REPORTING:
+            self.machine_manager.misrouted.handle_reporting_query(request)
+        elif request.kind is RequestKind.CONSENT:
+            self.consent.asked(request)
+        elif request.kind is RequestKind.LIST_CORDONS:
+            self.operator_commands.show(request)
+        elif request.kind is RequestKind.CHANGE_CORDON:
+            self.operator_commands.asked(request)
+        elif request.kind is RequestKind.ADMISSION:
+            self._show_admission(request)
+        elif request.kind is RequestKind.VIEW:
+            self.context.reply(request.request_id, 200, encode(self.view()))
         else:
-            self.users.asked(asked)
+            self.users.handle(request)
 
-    def _show_admission(self, asked: Asked) -> None:
+    def _show_admission(self, request: IncomingRequest) -> None:
         if self.admission is None:
-            self.node.refuse(asked.number, 404, "fair shares are not switched on (admission=true)")
-        elif not self.node.loaded:
-            self.node.refuse(asked.number, 503, "starting: the records are not read yet", 1)
+            self.context.reply_error(request.request_id, 404, "fair shares are not switched on (admission=true)")
+        elif not self.context.records_loaded:
+            self.context.reply_error(request.request_id, 503, "starting: the records are not read yet", 1)
         else:
-            self.node.reply(asked.number, 200, encode(self.admission.show()))
+            self.context.reply(request.request_id, 200, encode(self.admission.show()))
 
     def healthy(self) -> bool:
         # In an outage for all no other controller would serve users better; the one who alone is refused steps aside.
-        served = not self.node.state_down() or self.consent.outage()
-        return self.node.loaded and served and bool(self.placers.types)
+        served = not self.context.state_down() or self.consent.outage()
+        return self.context.records_loaded and served and bool(self.scheduler.types)
 
     def view(self) -> dict[str, Any]:
         """This controller's own view, for operators; no jobs in it."""
         epoch = self.membership.epoch
-        machines = [name for name, record in self.node.picture.machines.items() if record.use is not MachineUse.GONE]
+        machines = [
+            name
+            for name, record in self.context.cluster_state.machines.items()
+            if record.use is not MachineUse.RETURNED
+        ]
         view: dict[str, Any] = {
-            "name": self.node.name,
+            "name": self.context.name,
             "healthy": self.healthy(),
-            "role": "leader" if self.membership.leads() else "member" if self.membership.entitled() else "outside",
+            "role": "leader" if self.membership.is_leader() else "member" if self.membership.is_active() else "outside",
             "epoch": None if epoch is None else epoch.number,
             "members": [] if epoch is None else sorted(epoch.members),
-            "revision": self.node.picture.revision,
-            "part": sorted(name for name in machines if self.membership.owner(name) == self.node.name),
+            "revision": self.context.cluster_state.revision,
+            "part": sorted(name for name in machines if self.membership.owner(name) == self.context.name),
             "machines": len(machines),
-            "jobs": len(self.node.picture.jobs),
+            "jobs": len(self.context.cluster_state.jobs),
             "budgets": {
-                "state_requests": round(self.node.requests.level, 1),
-                "state_writes": round(self.node.writes.level, 1),
-                "cloud": round(self.node.cloud_calls.level, 1),
+                "state_requests": round(self.context.state_requests.tokens, 1),
+                "state_writes": round(self.context.state_writes.tokens, 1),
+                "cloud": round(self.context.cloud_calls.tokens, 1),
             },
-            "queues": {**self.users.queue_lengths(), "exits": len(self.ledger.exits)},
+            "queues": {**self.users.queue_lengths(), "exits": len(self.state_writer.exits)},
         }
-        panel = self.node.panel
+        panel = self.context.panel
         if panel is not None:
             view["policies"] = {
                 name: {"asked": panel.asked[name], "rounds_not_heard": panel.dropped[name]} for name in panel.policies
--- a/src/gladecroft/coordination/events.py
+++ b/src/gladecroft/coordination/events.py
@@ -10,7 +10,7 @@
 from gladecroft.protocol.wire import Report, WatchReply
 
 
-class Verb(Enum):
+class RequestKind(Enum):
     SUBMIT = "submit"
     POLL = "poll"
     CANCEL = "cancel"
@@ -18,30 +18,30 @@
     REPORT = "report"
     VIEW = "view"
     #: An operator asks for the cordons, or sets or lifts one.
-    CORDONS = "cordons"
-    CORDON = "cordon"
+    LIST_CORDONS = "cordons"
+    CHANGE_CORDON = "cordon"
     #: An operator asks what is agreed on shares.
     ADMISSION = "admission"
     #: A sibling tells of attempts that are proven gone.
-    ENDED = "ended"
+    ATTEMPTS_ENDED = "ended"
     #: A sibling tells of machines that have reported to it.
-    HEARD = "heard"
+    MACHINES_REPORTED = "heard"
     #: A sibling asks which of some machines report here.
-    HEARS = "hears"
+    QUERY_REPORTING = "hears"
     #: A sibling asks for consent to go on without the state service.
     CONSENT = "consent"
 
 
-class Asked(msgspec.Struct):
+class IncomingRequest(msgspec.Struct):
     """A request that waits for an answer under its number."""
 
-    number: int
-    verb: Verb
+    request_id: int
+    kind: RequestKind
     body: bytes = b""
     job: str = ""
 
 
-class Answered(msgspec.Struct):
+class CallResult(msgspec.Struct):
     """The answer to a call; status 0: unknown outcome, -1: certainly not sent."""
 
     call: int
@@ -49,7 +49,7 @@
     body: bytes = b""
 
 
-class Watched(msgspec.Struct):
+class WatchResult(msgspec.Struct):
     """What a watch brought. ``gap``: the changes since are lost and everything is to be read again."""
 
     reply: WatchReply | None = None
@@ -57,7 +57,7 @@
     failed: bool = False
 
 
-Event = Asked | Answered | Watched
+Event = IncomingRequest | CallResult | WatchResult
 
 
 class Target(Enum):
@@ -68,50 +68,50 @@
 
 
 class Reply(msgspec.Struct):
-    number: int
+    request_id: int
     status: int
     body: bytes = b""
     retry_after: int | None = None
 
 
-class Call(msgspec.Struct):
-    number: int
+class OutgoingCall(msgspec.Struct):
+    call_id: int
     target: Target
     method: str
     path: str
     body: bytes | None
-    limit: timedelta
+    timeout: timedelta
     addr: str = ""
 
 
-class Watch(msgspec.Struct):
+class StartWatch(msgspec.Struct):
     """Open a watch (one at a time) from this revision on."""
 
     after: int
 
 
-Effect = Reply | Call | Watch
+Effect = Reply | OutgoingCall | StartWatch
 
 
-class Clock(msgspec.Struct, frozen=True):
-    steady: timedelta
+class ClockReading(msgspec.Struct, frozen=True):
+    monotonic: timedelta
     wall: datetime
 
 
 #: What users ask for, the most pressing first.
-USERS_ASK = (Verb.CANCEL, Verb.POLL, Verb.SUBMIT)
+USERS_ASK = (RequestKind.CANCEL, RequestKind.POLL, RequestKind.SUBMIT)
 
 
-def by_urgency(events: list[Event]) -> list[Event]:
+def user_requests_last(events: list[Event]) -> list[Event]:
     """The events of a batch with what users ask for last: cancellations, polls, submissions. Others keep their order.
 
     In a flood of submissions reports, renewals and cancellations are not to wait behind it.
     """
-    asked: dict[Verb, list[Event]] = {}
+    asked: dict[RequestKind, list[Event]] = {}
     others: list[Event] = []
     for event in events:
-        if isinstance(event, Asked) and event.verb in USERS_ASK:
-            asked.setdefault(event.verb, []).append(event)
+        if isinstance(event, IncomingRequest) and event.kind in USERS_ASK:
+            asked.setdefault(event.kind, []).append(event)
         else:
             others.append(event)
     for verb in USERS_ASK:
@@ -120,6 +120,6 @@
 
 
 __all__ = [
-    "Answered", "Asked", "Call", "Clock", "Effect", "Event", "Reply", "Report", "Target", "Verb", "Watch", "Watched",
-    "by_urgency",
+    "CallResult", "IncomingRequest", "OutgoingCall", "ClockReading", "Effect", "Event", "Reply",
+    "Report", "Target", "RequestKind", "StartWatch", "WatchResult", "user_requests_last",
 ]  # fmt: skip
--- a/src/gladecroft/coordination/fleet/packing.py
+++ b/src/gladecroft/coordination/fleet/packing.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from gladecroft.bookkeeping.job import Job
-from gladecroft.bookkeeping.records import MachineSort
+from gladecroft.bookkeeping.records import CapacityPool
 from gladecroft.policies.interface import Demand
 from gladecroft.protocol.wire import JobSpec, MachineType
 
@@ -22,9 +22,9 @@
     __slots__ = ("sort", "cpus", "gpus", "memory", "machine", "high", "taken")
 
     def __init__(
-        self, sort: MachineSort, cpus: float, gpus: float, memory: float, machine: str = "", high: bool = False
+        self, pool: CapacityPool, cpus: float, gpus: float, memory: float, machine: str = "", high: bool = False
     ) -> None:
-        self.sort, self.cpus, self.gpus, self.memory = sort, cpus, gpus, memory
+        self.sort, self.cpus, self.gpus, self.memory = pool, cpus, gpus, memory
         self.machine = machine
         #: Whether high-priority work is there.
         self.high = high
@@ -44,16 +44,16 @@
         self.memory -= job.spec.memory_gb * count
 
 
-def empty_bin(sort: MachineSort, kind: MachineType) -> Bin:
-    return Bin(sort, kind.cpus, kind.gpus, kind.memory_gb)
+def empty_bin(pool: CapacityPool, kind: MachineType) -> Bin:
+    return Bin(pool, kind.cpus, kind.gpus, kind.memory_gb)
 
 
-class Room:
+class BinPool:
     """The bins that can still hold something, by sort of machine; the lists shrink as they fill."""
 
     def __init__(self, bins: list[Bin], smallest: float) -> None:
         self.smallest = smallest
-        self.sorts: dict[MachineSort, list[Bin]] = {}
+        self.sorts: dict[CapacityPool, list[Bin]] = {}
         for bin in bins:
             self.add(bin)
 
@@ -61,8 +61,8 @@
         if bin.cpus + 1e-6 >= self.smallest:
             self.sorts.setdefault(bin.sort, []).append(bin)
 
-    def trim(self, sort: MachineSort) -> None:
-        self.sorts[sort] = [bin for bin in self.sorts[sort] if bin.cpus + 1e-6 >= self.smallest]
+    def trim(self, pool: CapacityPool) -> None:
+        self.sorts[pool] = [bin for bin in self.sorts[pool] if bin.cpus + 1e-6 >= self.smallest]
 
 
 def core_price(kind: MachineType, spot: bool, spec: JobSpec) -> float:
@@ -82,7 +82,7 @@
 
 
 @dataclass
-class Terms:
+class PackingConstraints:
     """What a plan goes by."""
 
     types: Mapping[str, MachineType]
@@ -92,27 +92,27 @@
     #: How many more cores a team's limit lets its tasks take.
     limit_room: Callable[[str], float]
     #: Sorts that are not asked for now, and how many of others at the most.
-    closed: Collection[MachineSort] = ()
-    at_most: Mapping[MachineSort, int] = field(default_factory=dict)
+    closed: Collection[CapacityPool] = ()
+    at_most: Mapping[CapacityPool, int] = field(default_factory=dict)
     #: Whether policies let the job go to a machine (no name: to one that is rented); None: there are no policies.
-    lets: Callable[[Job, str, MachineSort], bool] | None = None
+    lets: Callable[[Job, str, CapacityPool], bool] | None = None
 
 
 @dataclass
-class Plan:
+class RentalPlan:
     """One filling. ``dear_cpus``: cores that may be rented dear; ``spare``: cores that work outside a guarantee may
     take on machines with high-priority work; ``in_zone``: machines there, or to be there."""
 
-    terms: Terms
-    room: Room
+    terms: PackingConstraints
+    room: BinPool
     dear_cpus: float
     spare: float
     in_zone: dict[str, int]
-    want: dict[MachineSort, int] = field(default_factory=dict)
+    to_rent: dict[CapacityPool, int] = field(default_factory=dict)
     #: What is left of each team's limit, once asked for.
     may_run: dict[str, float] = field(default_factory=dict)
 
-    def fill(self, job: Job, everywhere: bool, few: int | None = None) -> bool:
+    def place(self, job: Job, everywhere: bool, few: int | None = None) -> bool:
         """Put a job's waiting tasks into bins, opening new ones by the cheapest kinds. ``everywhere``: work of high
         priority or within a guarantee, from which no reserve is kept. ``few``: the most that may start now. False if no
         room is to be had for the rest."""
@@ -147,7 +147,7 @@
             bin.take(job, count)
             self.room.add(bin)
             self.in_zone[sort[1]] = self.in_zone.get(sort[1], 0) + 1
-            self.want[sort] = self.want.get(sort, 0) + 1
+            self.to_rent[sort] = self.to_rent.get(sort, 0) + 1
             zones[sort[1]] = zones.get(sort[1], 0) + count
             left -= count
         return left
@@ -188,7 +188,7 @@
                 break
         return left
 
-    def _cheapest(self, job: Job, zones: dict[str, int], cap: int, only: str | None) -> MachineSort | None:
+    def _cheapest(self, job: Job, zones: dict[str, int], cap: int, only: str | None) -> CapacityPool | None:
         spec, terms = job.spec, self.terms
         sorts = [
             (kind, zone, spot)
@@ -205,7 +205,7 @@
             if zones.get(zone, 0) >= cap or (only is not None and zone != only) or sort in terms.closed:
                 continue
             at_most = terms.at_most.get(sort)
-            if at_most is not None and self.want.get(sort, 0) >= at_most:
+            if at_most is not None and self.to_rent.get(sort, 0) >= at_most:
                 continue
             price = core_price(kind, spot, spec)
             if price > DEAR * cheapest and self.dear_cpus <= 0:
@@ -220,7 +220,7 @@
             self.dear_cpus -= machine.cpus
         return machine.name, zone, spot
 
-    def keep(self, demand: Demand, bins: Iterable[Bin], shut: Callable[[str, MachineSort], bool]) -> None:
+    def keep(self, demand: Demand, bins: Iterable[Bin], shut: Callable[[str, CapacityPool], bool]) -> None:
         """See to room that is wanted at an instant: keep bins that are free for it, and rent what is missing, cheapest
         cores first. ``shut``: machines that take nothing new are no room."""
         missing = demand.cpus
@@ -232,7 +232,7 @@
             if bin.cpus > 1e-6 and demand.suits(*bin.sort[:2]) and not shut(bin.machine, bin.sort):
                 missing -= bin.cpus
                 bin.taken = True
-        prices: list[tuple[float, int, str, MachineSort]] = []
+        prices: list[tuple[float, int, str, CapacityPool]] = []
         for kind in self.terms.types.values():
             for zone in kind.zones:
                 for spot in (True, False):
@@ -242,8 +242,8 @@
                         prices.append((round(price, 4), self.in_zone.get(zone, 0), zone, sort))
         for _, _, _, sort in sorted(prices):
             most = self.terms.at_most.get(sort)
-            while left > 0 and missing > 1e-6 and (most is None or self.want.get(sort, 0) < most):
+            while left > 0 and missing > 1e-6 and (most is None or self.to_rent.get(sort, 0) < most):
                 left -= 1
-                self.want[sort] = self.want.get(sort, 0) + 1
+                self.to_rent[sort] = self.to_rent.get(sort, 0) + 1
                 self.in_zone[sort[1]] = self.in_zone.get(sort[1], 0) + 1
                 missing -= max(self.terms.types[sort[0]].cpus, 1e-9)
--- a/src/gladecroft/coordination/fleet/sizing.py
+++ b/src/gladecroft/coordination/fleet/sizing.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from gladecroft.bookkeeping.job import Job
-from gladecroft.bookkeeping.workload import Group, Work
+from gladecroft.bookkeeping.workload import JobGroup, SpotWork
 from gladecroft.coordination.fleet.packing import Bin
-from gladecroft.protocol.wire import JobSpec, Kind
+from gladecroft.protocol.wire import JobKind, JobSpec
 
 #: So many idle machines, and this share of the fleet, are kept for as long as the operators say; more of them only for
 #: a moment.
@@ -19,7 +19,7 @@
 IDLE_AT_LEAST = timedelta(seconds=4)
 
 
-class Idle(msgspec.Struct, frozen=True):
+class IdleMachine(msgspec.Struct, frozen=True):
     """A machine on which there is nothing, and for how long. ``price`` is its own, by the hour."""
 
     price: float
@@ -28,7 +28,9 @@
     cpus: float
 
 
-def to_give_back(idle: Iterable[Idle], machines: int, free: float, reserve: float, idle_for: timedelta) -> list[str]:
+def to_give_back(
+    idle: Iterable[IdleMachine], machines: int, free: float, reserve: float, idle_for: timedelta
+) -> list[str]:
     """The idle machines to return, the dearest first; ``free`` and ``reserve`` are cores of the whole fleet.
 
     One machine may soon be wanted again. Of many, all but a few go at once: what a large fleet needs next moves less
@@ -60,7 +62,7 @@
     zone_room: Callable[[Job], tuple[dict[str, int], int]],
 ) -> bool:
     """Whether a machine's work fits into the other machines' bins, which it fills, with room for what comes."""
-    services = [job for job in residents if job.spec.kind is Kind.SERVICE]
+    services = [job for job in residents if job.spec.kind is JobKind.SERVICE]
     held = sum(job.spec.cpus for job in residents)
     if sum(max(0.0, bin.cpus) for bin in bins) - held < 2 * reserve:
         return False
@@ -79,7 +81,7 @@
 
 
 def dear_room(
-    work: Mapping[Group, Work],
+    work: Mapping[JobGroup, SpotWork],
     bins: Iterable[Bin],
     cpus_of: Mapping[str, float],
     held_by_services: Callable[[str], float],
@@ -96,11 +98,11 @@
     """
     asked: dict[str, float] = {}
     for (team, _), each in work.items():
-        asked[team] = asked.get(team, 0.0) + each.waiting_cpus
+        asked[team] = asked.get(team, 0.0) + each.queued_cpus
     needed = 0.0
     for (team, job_class), each in work.items():
         may_run = min(1.0, max(0.0, runnable(team)) / asked[team]) if asked[team] > 0 else 1.0
-        needed += (each.waiting * may_run + each.running / 2) / (share * patience(job_class))
+        needed += (each.queued_cpu_s * may_run + each.running_cpu_s / 2) / (share * patience(job_class))
     room = 0.0
     for bin in bins:
         room += cpus_of[bin.sort[0]] - (held_by_services(bin.machine) if bin.machine else 0.0)
--- a/src/gladecroft/coordination/machines/__init__.py
+++ b/src/gladecroft/coordination/machines/__init__.py
@@ -1,5 +1,5 @@
 """The owner's work for each of its machines: reports, commands, what is proven gone, and what siblings hear of it."""
 
-from gladecroft.coordination.machines.manager import Keeper
+from gladecroft.coordination.machines.manager import MachineManager
 
-__all__ = ["Keeper"]
+__all__ = ["MachineManager"]
--- a/src/gladecroft/coordination/machines/announcer.py
+++ b/src/gladecroft/coordination/machines/announcer.py
@@ -5,10 +5,10 @@
 from datetime import timedelta
 
 from gladecroft.bookkeeping.records import MachineRecord, MachineUse
-from gladecroft.coordination.context import Node
+from gladecroft.coordination.context import ControllerContext
 from gladecroft.coordination.machines.machine import Machine
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.state_writer import TELL_EVERY, Ledger
+from gladecroft.coordination.state_writer import TELL_EVERY, StateWriter
 from gladecroft.protocol import peers, wire
 from gladecroft.protocol.wire import Report
 
@@ -16,12 +16,12 @@
 TELL_IN_VAIN = timedelta(seconds=3)
 
 
-class Heralds:
-    def __init__(self, node: Node, membership: Membership, ledger: Ledger) -> None:
-        self.node = node
-        self.picture = node.picture
+class MachineAnnouncer:
+    def __init__(self, context: ControllerContext, membership: Membership, state_writer: StateWriter) -> None:
+        self.context = context
+        self.cluster_state = context.cluster_state
         self.membership = membership
-        self.ledger = ledger
+        self.state_writer = state_writer
         #: For each sibling the machines that it has not been told of, and since when it should have been.
         self._untold: dict[str, dict[str, timedelta]] = {}
         self._telling: set[str] = set()
@@ -32,20 +32,20 @@
         """A machine's first report here, or the first after it was given up: all controllers are to know of it, with no
         change in the state service."""
         record = MachineRecord(report.type, report.zone, report.spot, report.addr)
-        self.picture.hear(machine.id, record)
-        if machine.id in self.picture.heard or machine.lost:
+        self.cluster_state.add_reported_machine(machine.id, record)
+        if machine.id in self.cluster_state.reported_machines or machine.lost:
             for sibling in self._siblings():
-                self._untold.setdefault(sibling, {})[machine.id] = self.node.now
+                self._untold.setdefault(sibling, {})[machine.id] = self.context.now
 
-    def tell_of(self, name: str, record: MachineRecord) -> None:
+    def announce_cloud_machine(self, name: str, record: MachineRecord) -> None:
         """Tell all of a machine that only the cloud has told of."""
-        self.picture.hear(name, record)
+        self.cluster_state.add_reported_machine(name, record)
         for sibling in self._siblings():
-            self._untold.setdefault(sibling, {}).setdefault(name, self.node.now)
+            self._untold.setdefault(sibling, {}).setdefault(name, self.context.now)
 
     def _siblings(self) -> list[str]:
         epoch = self.membership.epoch
-        return [] if epoch is None else [name for name in epoch.members if name != self.node.name]
+        return [] if epoch is None else [name for name in epoch.members if name != self.context.name]
 
     def tell_new_members(self) -> None:
         """Who has joined is told of the machines without a record: of one's own and, by the leader, of all."""
@@ -54,39 +54,39 @@
         for sibling in self._siblings():
             if self._members.get(sibling) != members[sibling]:
                 self._untold[sibling] = {
-                    name: self.node.now
-                    for name in self.picture.heard
-                    if self.membership.leads() or self.membership.owner(name) == self.node.name
+                    name: self.context.now
+                    for name in self.cluster_state.reported_machines
+                    if self.membership.is_leader() or self.membership.owner(name) == self.context.name
                 }
         for sibling in [name for name in self._untold if name not in members]:
             del self._untold[sibling]
         self._members = dict(members)
 
     def tell(self) -> None:
-        node = self.node
-        if node.now - self._told_at < TELL_EVERY:
+        context = self.context
+        if context.now - self._told_at < TELL_EVERY:
             return
-        self._told_at = node.now
+        self._told_at = context.now
         vain: dict[str, None] = {}
         for sibling, untold in self._untold.items():
             if not untold:
                 continue
-            batch: list[peers.HeardMachine] = []
+            batch: list[peers.ReportedMachine] = []
             for name, since in list(untold.items()):
-                record = self.picture.machines.get(name)
+                record = self.cluster_state.machines.get(name)
                 if record is None or record.use is not MachineUse.UP:
                     del untold[name]  # its record tells more
                     continue
-                if node.now - since > TELL_IN_VAIN:
+                if context.now - since > TELL_IN_VAIN:
                     # Someone who can't be reached would never place there.
                     vain[name] = None
-                if len(batch) < peers.MOST_HEARD:
-                    batch.append(peers.HeardMachine(name, record.type, record.zone, record.spot, record.addr))
+                if len(batch) < peers.MAX_MACHINES_PER_MESSAGE:
+                    batch.append(peers.ReportedMachine(name, record.type, record.zone, record.spot, record.addr))
             if batch and sibling not in self._telling:
                 self._tell_sibling(sibling, batch)
-        self.ledger.ends.untold_machines = vain
+        self.state_writer.exit_tracker.unannounced_machines = vain
 
-    def _tell_sibling(self, sibling: str, batch: list[peers.HeardMachine]) -> None:
+    def _tell_sibling(self, sibling: str, batch: list[peers.ReportedMachine]) -> None:
         def then(status: int, body: bytes) -> None:
             self._telling.discard(sibling)
             if status == 200:
@@ -94,12 +94,14 @@
                 for heard in batch:
                     untold.pop(heard.name, None)
 
-        if self.node.peer(sibling, peers.HEARD_PATH, wire.encode(peers.Heard(batch)), then):
+        if self.context.call_peer(
+            sibling, peers.REPORTED_MACHINES_PATH, wire.encode(peers.ReportedMachines(batch)), then
+        ):
             self._telling.add(sibling)
 
-    def tell_gone(self, names: list[str]) -> None:
+    def announce_returned(self, names: list[str]) -> None:
         """Tell the siblings of returned machines. Who does not hear of it finds them silent."""
         for sibling in self._siblings():
-            for start in range(0, len(names), peers.MOST_HEARD):
-                body = wire.encode(peers.Heard([], names[start : start + peers.MOST_HEARD]))
-                self.node.peer(sibling, peers.HEARD_PATH, body, lambda status, body: None)
+            for start in range(0, len(names), peers.MAX_MACHINES_PER_MESSAGE):
+                body = wire.encode(peers.ReportedMachines([], names[start : start + peers.MAX_MACHINES_PER_MESSAGE]))
+                self.context.call_peer(sibling, peers.REPORTED_MACHINES_PATH, body, lambda status, body: None)
--- a/src/gladecroft/coordination/machines/fault_attribution.py
+++ b/src/gladecroft/coordination/machines/fault_attribution.py
@@ -14,7 +14,7 @@
 from datetime import timedelta
 
 from gladecroft.bookkeeping.job import Job
-from gladecroft.protocol.wire import Kind
+from gladecroft.protocol.wire import JobKind
 
 #: A job of which tasks have failed on so many machines, and of which none has completed, accuses itself.
 MACHINES = 3
@@ -31,22 +31,22 @@
 OUT_OF_USE = 0.25
 
 
-def accuses_itself(job: Job) -> bool:
+def is_faulty_job(job: Job) -> bool:
     """Whether a job's tasks fail wherever they start, as far as the records tell: the same at every controller."""
-    return not job.done and len(job.failed_on()) >= MACHINES
+    return not job.done_count and len(job.failed_machines()) >= MACHINES
 
 
-def may_start(job: Job, now_s: float) -> int:
+def allowed_extra_starts(job: Job, now_s: float) -> int:
     """How many tasks of a job that accuses itself may start beside those that run. ``now_s``: time of day."""
-    if job.spec.kind is Kind.GANG:
+    if job.spec.kind is JobKind.GANG:
         return job.spec.tasks
-    if not job.occupied:
+    if not job.placed_count:
         return 1
-    newest = max(task.placed_s for _, task in job.placed())
-    return job.occupied if now_s - newest >= RUNS_WELL.total_seconds() else 0
+    newest = max(task.placed_s for _, task in job.placed_tasks())
+    return job.placed_count if now_s - newest >= RUNS_WELL.total_seconds() else 0
 
 
-def next_try(tries: int) -> timedelta:
+def retry_backoff(tries: int) -> timedelta:
     """How long after the last try of a job that accuses itself the next comes."""
     return min(TRY_MOST, TRY_AFTER * (1 << min(tries, 10)))
 
--- a/src/gladecroft/coordination/machines/machine.py
+++ b/src/gladecroft/coordination/machines/machine.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from gladecroft.protocol.wire import Op, Report, TaskReport
+from gladecroft.protocol.wire import CommandOp, Report, TaskReport
 
 #: One that got no answer comes again after 5 s at the earliest.
 PROMPT = timedelta(seconds=4.5)
@@ -32,10 +32,10 @@
 
     id: str
     owner_since: timedelta
-    fence: int
+    fencing_token: int
     token: int
     report: Report | None = None
-    present: dict[TaskKey, TaskReport] = {}
+    observed: dict[TaskKey, TaskReport] = {}
     #: Further attempts of tasks in ``present``: a refused start stays beside the attempt that it ran into.
     beside: dict[TaskKey, list[TaskReport]] = {}
     answered_at: timedelta | None = None
@@ -47,30 +47,30 @@
     #: after it was sent, starts something: then no report that is made meanwhile proves what is absent.
     direct: bool = False
     starting: bool = False
-    sent: dict[tuple[str, int, int, Op], timedelta] = {}
+    sent: dict[tuple[str, int, int, CommandOp], timedelta] = {}
     errors: dict[str, int] = {}
-    images: dict[str, None] = {}
+    cached_images: dict[str, None] = {}
     lost: bool = False
     suspect: bool = False
     #: When it last showed that it hears; the token that it is asked to show, and how many reports came without that.
-    shown_at: timedelta | None = None
-    asked: int | None = None
+    acked_at: timedelta | None = None
+    ack_token: int | None = None
     unshown: int = 0
     #: Whether the other controllers have been told of it.
     told: bool = False
 
-    def trusted(self) -> bool:
+    def has_trusted_report(self) -> bool:
         on_its_way = self.direct or self.starting
-        return self.report is not None and not on_its_way and self.report.token >= self.fence
+        return self.report is not None and not on_its_way and self.report.token >= self.fencing_token
 
-    def shows(self, report: Report, now: timedelta, answer: bool = False) -> bool:
+    def acknowledges(self, report: Report, now: timedelta, answer: bool = False) -> bool:
         """Whether a new report shows that the machine hears its owner. ``answer``: it is the answer to a command."""
-        if report.token < self.fence:
+        if report.token < self.fencing_token:
             return False
-        if answer or self.shown_at is None or self.asked is not None and report.token >= self.asked:
+        if answer or self.acked_at is None or self.ack_token is not None and report.token >= self.ack_token:
             return True
         return self.heard_at is not None and now - self.heard_at < PROMPT
 
-    def deaf(self, now: timedelta, lease: timedelta) -> bool:
+    def ack_overdue(self, now: timedelta, lease: timedelta) -> bool:
         """Whether it has shown nothing for a lease, though it was asked to."""
-        return self.unshown > 0 and now - (self.shown_at or self.owner_since) > lease
+        return self.unshown > 0 and now - (self.acked_at or self.owner_since) > lease
--- a/src/gladecroft/coordination/machines/manager.py
+++ b/src/gladecroft/coordination/machines/manager.py
@@ -14,18 +14,18 @@
 import msgspec
 
 from gladecroft.bookkeeping.records import MachineRecord, MachineUse
-from gladecroft.coordination.consent import Consent
-from gladecroft.coordination.context import SLACK, Node
-from gladecroft.coordination.events import Asked
-from gladecroft.coordination.machines.announcer import Heralds
-from gladecroft.coordination.machines.commands import difference, mark, worth_a_call
+from gladecroft.coordination.consent import PeerConsent
+from gladecroft.coordination.context import CLOCK_SKEW_FACTOR, ControllerContext
+from gladecroft.coordination.events import IncomingRequest
+from gladecroft.coordination.machines.announcer import MachineAnnouncer
+from gladecroft.coordination.machines.commands import mark, reconcile, worth_a_call
 from gladecroft.coordination.machines.machine import Machine, task_key
-from gladecroft.coordination.machines.misrouted_reports import MARGIN, Visits
-from gladecroft.coordination.machines.report_evaluator import Judge
+from gladecroft.coordination.machines.misrouted_reports import MARGIN, MisroutedReports
+from gladecroft.coordination.machines.report_evaluator import ReportEvaluator
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.state_writer import LOST, Ledger, Outcome
+from gladecroft.coordination.state_writer import LOST_NOTE_PREFIX, Outcome, StateWriter
 from gladecroft.protocol import peers, wire
-from gladecroft.protocol.wire import Command, Commands, Op, Report
+from gladecroft.protocol.wire import Command, CommandOp, Commands, Report
 
 log = logging.getLogger(__name__)
 
@@ -36,19 +36,21 @@
 SURVEY_EVERY = timedelta(seconds=1.2)
 
 
-class Keeper:
-    def __init__(self, node: Node, membership: Membership, ledger: Ledger, consent: Consent) -> None:
-        self.node = node
-        self.picture = node.picture
+class MachineManager:
+    def __init__(
+        self, context: ControllerContext, membership: Membership, state_writer: StateWriter, consent: PeerConsent
+    ) -> None:
+        self.context = context
+        self.cluster_state = context.cluster_state
         self.membership = membership
-        self.ledger = ledger
+        self.state_writer = state_writer
         self.consent = consent
         self.machines: dict[str, Machine] = {}
-        self.judge = Judge(node, ledger)
-        self.heralds = Heralds(node, membership, ledger)
-        self.visits = Visits(node, membership, self.machines, self.reported)
+        self.judge = ReportEvaluator(context, state_writer)
+        self.announcer = MachineAnnouncer(context, membership, state_writer)
+        self.misrouted = MisroutedReports(context, membership, self.machines, self.handle_report)
         #: Who has not been heard for longer than this is silent.
-        self._quiet = 2.5 * node.report + 2 * MARGIN
+        self._quiet = 2.5 * context.report_interval + 2 * MARGIN
         self._looked_at = timedelta(days=-1)
         self._surveyed_at = timedelta(days=-1)
 
@@ -63,143 +65,147 @@
         if not continuous:
             self.machines.clear()
         for name in list(self.machines):
-            if not self.membership.member() or self.membership.owner(name) != self.node.name:
+            if not self.membership.is_member() or self.membership.owner(name) != self.context.name:
                 del self.machines[name]
-        self.visits.epoch_changed()
-        self.picture.touched.update(self.picture.on_machine, self.picture.machines)
+        self.misrouted.epoch_changed()
+        self.cluster_state.dirty_for_owner.update(self.cluster_state.tasks_by_machine, self.cluster_state.machines)
         self._surveyed_at = timedelta(days=-1)
-        self.heralds.tell_new_members()
+        self.announcer.tell_new_members()
 
-    def machine(self, name: str) -> Machine:
+    def ensure_machine(self, name: str) -> Machine:
         machine = self.machines.get(name)
         if machine is None:
             base = self.membership.base_token()
             machine = self.machines[name] = Machine(name, self.membership.epoch_seen_at, base, base)
         return machine
 
-    def token(self, machine: Machine) -> int:
+    def current_token(self, machine: Machine) -> int:
         machine.token = max(machine.token, self.membership.base_token())
         return machine.token
 
     # Reports -------------------------------------------------------------------------------------------------
 
-    def reported(self, asked: Asked) -> None:
-        node = self.node
-        report = node.read(asked, Report)
+    def handle_report(self, request: IncomingRequest) -> None:
+        context = self.context
+        report = context.decode_request(request, Report)
         if report is None:
             return
-        if not self.consent.answers():
-            node.refuse(asked.number, 503, "not entitled to act", 1)
+        if not self.consent.may_answer_machines():
+            context.reply_error(request.request_id, 503, "not entitled to act", 1)
             return
-        known = self.picture.machines.get(report.machine)
-        if self.picture.buried(report.machine) or known is not None and known.use is MachineUse.GONE:
+        known = self.cluster_state.machines.get(report.machine)
+        if self.cluster_state.was_returned(report.machine) or known is not None and known.use is MachineUse.RETURNED:
             # The report was on its way when the machine was returned. Taken as news it would draw work to nowhere.
-            node.refuse(asked.number, 503, "this machine was returned", 1)
+            context.reply_error(request.request_id, 503, "this machine was returned", 1)
             return
         owner = self.membership.owner(report.machine, report.zone)
-        if owner != node.name:
-            self.visits.visited(asked, report.machine, owner, report.addr)
+        if owner != context.name:
+            self.misrouted.handle_report(request, report.machine, owner, report.addr)
             return
-        machine = self.machine(report.machine)
-        if report.token > self.token(machine):
+        machine = self.ensure_machine(report.machine)
+        if report.token > self.current_token(machine):
             # The machine has seen a newer epoch than this controller has.
-            node.refuse(asked.number, 503, "a newer epoch is about", 1)
+            context.reply_error(request.request_id, 503, "a newer epoch is about", 1)
             return
         if not self._take(machine, report):
-            node.refuse(asked.number, 503, "a newer report is known", 1)
+            context.reply_error(request.request_id, 503, "a newer report is known", 1)
             return
-        if machine.deaf(node.now, node.lease):
+        if machine.ack_overdue(context.now, context.machine_lease):
             # Its lease has ended, whatever was answered. Answered on, it would seem to live on for as long as it
             # reports, and what is placed there would never be proven gone.
-            node.refuse(asked.number, 503, "this machine does not hear its answers", 1)
+            context.reply_error(request.request_id, 503, "this machine does not hear its answers", 1)
             return
         self._ask_to_show(machine)
-        machine.answered_at, machine.answered_session = node.now, report.session
+        machine.answered_at, machine.answered_session = context.now, report.session
         commands = self._commands(machine)
-        machine.starting = any(command.op is Op.START for command in commands)
-        node.reply(asked.number, 200, wire.encode(Commands(self.token(machine), commands)))
-        self.picture.touched.discard(machine.id)
+        machine.starting = any(command.op is CommandOp.START for command in commands)
+        context.reply(request.request_id, 200, wire.encode(Commands(self.current_token(machine), commands)))
+        self.cluster_state.dirty_for_owner.discard(machine.id)
 
     def _ask_to_show(self, machine: Machine) -> None:
         """Raise the token of the answer if the machine has not shown for long that answers reach it. That costs nothing
         with most machines: they report so often that each report shows it."""
-        if machine.asked is not None:
+        if machine.ack_token is not None:
             return
-        if machine.shown_at is None:
-            machine.asked = machine.fence  # its first answer is the question
-        elif self.node.now - machine.shown_at > max(self.node.lease / ASK_A_LEASE, 2 * self.node.report):
-            machine.token = machine.asked = self.token(machine) + 1
+        if machine.acked_at is None:
+            machine.ack_token = machine.fencing_token  # its first answer is the question
+        elif self.context.now - machine.acked_at > max(
+            self.context.machine_lease / ASK_A_LEASE, 2 * self.context.report_interval
+        ):
+            machine.token = machine.ack_token = self.current_token(machine) + 1
 
     def _take(self, machine: Machine, report: Report, answer: bool = False) -> bool:
         """Take in a report if it is the newest. ``answer``: to a command, so it surely hears."""
         old = machine.report
         if old is not None and (report.session, report.seq) <= (old.session, old.seq):
             return False
-        fresh = machine.shown_at is None or machine.lost
-        shows = machine.shows(report, self.node.now, answer)
+        fresh = machine.acked_at is None or machine.lost
+        shows = machine.acknowledges(report, self.context.now, answer)
         if shows:
-            machine.shown_at, machine.asked, machine.unshown = self.node.now, None, 0
-        elif machine.asked is not None:
+            machine.acked_at, machine.ack_token, machine.unshown = self.context.now, None, 0
+        elif machine.ack_token is not None:
             machine.unshown += 1
         if not machine.told and (shows or not report.token):
             machine.told = True
             # A report with an old token may be a copy from long ago: others are told once it is known to be none. Who
             # has never seen a token is new.
-            self.heralds.first(machine, report)
+            self.announcer.first(machine, report)
         if old is None or report.session != old.session:
             machine.sent = {}
             if old is not None:
                 log.info("%s is in session %d", machine.id, report.session)
         if old is None or fresh or machine.suspect:
-            self.picture.stale.add(machine.id)
+            self.cluster_state.dirty_for_placement.add(machine.id)
         machine.report = report
-        machine.heard_at = self.node.now
+        machine.heard_at = self.context.now
         if not answer:
             machine.starting = False  # it has taken in the last answer, or has given it up
         if shows:
             machine.lost = machine.suspect = False
         elif machine.unshown:
             machine.suspect = True
-        machine.present, machine.beside = {}, {}
-        wanted = self.picture.on_machine.get(machine.id, {})
+        machine.observed, machine.beside = {}, {}
+        wanted = self.cluster_state.tasks_by_machine.get(machine.id, {})
         for task in report.tasks:
             key = task_key(task.task)
             if key is None:
                 continue
-            known = machine.present.get(key)
+            known = machine.observed.get(key)
             if known is not None:
                 record = wanted.get(key)
                 if record is not None and known.attempt == record.attempt:
                     task, known = known, task
                 machine.beside.setdefault(key, []).append(known)
-            machine.present[key] = task
-        if machine.shown_at is not None:
+            machine.observed[key] = task
+        if machine.acked_at is not None:
             # Of a machine that has shown nothing yet the report may be a copy from before this controller owned it.
             # Meanwhile the attempt that it calls ended may have been started again, in another session.
             self.judge.judge(machine)
         self._note_machine(machine, report, shows)
         return True
 
-    def told(self, asked: Asked) -> None:
+    def handle_announcement(self, request: IncomingRequest) -> None:
         """A sibling tells of machines that have reported to it. No proof of anything: what is placed on them is, as
         everywhere, only what is committed."""
-        message = self.node.read(asked, peers.Heard)
+        message = self.context.decode_request(request, peers.ReportedMachines)
         if message is None:
             return
-        if not self.node.loaded:
-            self.node.refuse(asked.number, 503, "starting", 1)
+        if not self.context.records_loaded:
+            self.context.reply_error(request.request_id, 503, "starting", 1)
             return
         for name in message.gone:
-            self.picture.forget_machine(name)
+            self.cluster_state.remove_machine(name)
             self.machines.pop(name, None)
         for heard in message.machines:
-            self.picture.hear(heard.name, MachineRecord(heard.type, heard.zone, heard.spot, heard.addr))
-        self.node.reply(asked.number, 200, b"{}")
+            self.cluster_state.add_reported_machine(
+                heard.name, MachineRecord(heard.type, heard.zone, heard.spot, heard.addr)
+            )
+        self.context.reply(request.request_id, 200, b"{}")
 
     def _note_machine(self, machine: Machine, report: Report, shows: bool) -> None:
-        known = self.ledger.machine(machine.id)
+        known = self.state_writer.machine(machine.id)
         use = MachineUse.UP if known is None else known.use
-        if use is MachineUse.GONE:
+        if use is MachineUse.RETURNED:
             return
         if use is MachineUse.SILENT and shows:
             use = MachineUse.UP
@@ -207,64 +213,66 @@
             return
         until = 0 if known is None else known.until_s
         if report.notice_s is not None:
-            until = until or int(self.node.wall.timestamp() + report.notice_s)
-            if use is not MachineUse.BAD:
-                use = MachineUse.LEAVING
+            until = until or int(self.context.wall_time.timestamp() + report.notice_s)
+            if use is not MachineUse.FAULTY:
+                use = MachineUse.RECLAIMING
         record = MachineRecord(report.type, report.zone, report.spot, report.addr, use, until)
-        self.ledger.put_machine(machine.id, record)
+        self.state_writer.put_machine(machine.id, record)
 
     # Commands ------------------------------------------------------------------------------------------------
 
     def _commands(self, machine: Machine) -> list[Command]:
         """What the machine is to be told, noted as sent; and what is proven by what is not there."""
-        wanted = self.picture.on_machine.get(machine.id, {})
-        exits = self.ledger.exits
-        commands, absent = difference(machine, wanted, self.picture.jobs, lambda key, attempt: (*key, attempt) in exits)
+        wanted = self.cluster_state.tasks_by_machine.get(machine.id, {})
+        exits = self.state_writer.exits
+        commands, absent = reconcile(
+            machine, wanted, self.cluster_state.jobs, lambda key, attempt: (*key, attempt) in exits
+        )
         for key in absent:
-            self.ledger.exit(*key, wanted[key].attempt, Outcome(False, wanted[key].note or "stopped"))
+            self.state_writer.record_exit(*key, wanted[key].attempt, Outcome(False, wanted[key].note or "stopped"))
         if len(machine.sent) > 2 * len(commands) + 200:
             machine.sent.clear()
         for command in commands:
-            machine.sent[mark(command)] = self.node.now
+            machine.sent[mark(command)] = self.context.now
         return commands
 
-    def work(self) -> None:
+    def push_commands(self) -> None:
         """Send commands straight to machines whose wanted tasks changed; look after the silent ones."""
-        self.visits.answer()
-        self.visits.ask_owners()
-        self.heralds.tell()
-        if not self.membership.entitled():
+        self.misrouted.answer()
+        self.misrouted.ask_owners()
+        self.announcer.tell()
+        if not self.membership.is_active():
             return
-        touched, self.picture.touched = self.picture.touched, set()
+        touched, self.cluster_state.dirty_for_owner = self.cluster_state.dirty_for_owner, set()
         for name in touched:
-            if self.membership.owner(name) == self.node.name:
-                if name in self.picture.on_machine or name in self.picture.machines:
-                    machine = self.machine(name)
-                    if machine.report is not None and machine.shown_at is not None:
+            if self.membership.owner(name) == self.context.name:
+                if name in self.cluster_state.tasks_by_machine or name in self.cluster_state.machines:
+                    machine = self.ensure_machine(name)
+                    if machine.report is not None and machine.acked_at is not None:
                         self.judge.judge(machine)
                     self._direct(machine)
                 elif name in self.machines:
                     self._direct(self.machines[name])
 
     def _direct(self, machine: Machine) -> None:
-        node = self.node
+        context = self.context
         report = machine.report
         if report is None or machine.direct or machine.lost or machine.answered_at is None:
             return
-        if machine.heard_at is None or node.now - machine.heard_at > 2 * node.report:
+        if machine.heard_at is None or context.now - machine.heard_at > 2 * context.report_interval:
             return
         if report.session != machine.answered_session:
             return
         before = dict(machine.sent)
         commands = self._commands(machine)
-        fresh = worth_a_call(commands, before, node.now)
+        fresh = worth_a_call(commands, before, context.now)
         machine.sent = {**machine.sent, **before}
         if not fresh:
             return
         for command in fresh:
-            machine.sent[mark(command)] = node.now
-        token = self.token(machine)
-        sent_at = node.now
+            machine.sent[mark(command)] = context.now
+        token = self.current_token(machine)
+        sent_at = context.now
         machine.direct = True
 
         def then(status: int, body: bytes) -> None:
@@ -278,92 +286,96 @@
                     log.error("%s answered a command with what is no report: %s", machine.id, error)
                 else:
                     self._take(machine, answer, True)  # renews no lease: answered_at stays
-                    self.picture.touched.add(machine.id)
+                    self.cluster_state.dirty_for_owner.add(machine.id)
                     return
-            if machine.heard_at is not None and machine.heard_at <= sent_at and node.now - sent_at > node.report / 2:
+            if (
+                machine.heard_at is not None
+                and machine.heard_at <= sent_at
+                and context.now - sent_at > context.report_interval / 2
+            ):
                 # Neither an answer nor a report since: nothing more is placed there until it is heard again.
                 machine.suspect = True
-                self.picture.stale.add(machine.id)
+                self.cluster_state.dirty_for_placement.add(machine.id)
             if status != -1:
                 # It may still be on its way: from here on only reports with a higher token prove anything.
                 machine.token = max(machine.token, token + 1)
-                machine.fence = machine.token
+                machine.fencing_token = machine.token
                 log.info("%s did not answer a direct command: fencing with token %d", machine.id, machine.token)
 
         body = wire.encode(Commands(token, fresh, report.session))
-        node.worker(report.addr, wire.COMMANDS_PATH, body, then)
+        context.post_to_worker(report.addr, wire.COMMANDS_PATH, body, then)
 
     # Silence -------------------------------------------------------------------------------------------------
 
-    def tick(self) -> None:
-        node = self.node
-        if not self.membership.entitled() or node.now - self._looked_at < LOOK_EVERY:
+    def check_silence(self) -> None:
+        context = self.context
+        if not self.membership.is_active() or context.now - self._looked_at < LOOK_EVERY:
             return
-        self._looked_at = node.now
+        self._looked_at = context.now
         self.judge.held = len(self.machines)
-        if node.now - self._surveyed_at >= SURVEY_EVERY:
-            self._surveyed_at = node.now
+        if context.now - self._surveyed_at >= SURVEY_EVERY:
+            self._surveyed_at = context.now
             self._survey()
-        now, lease, quiet = node.now, node.lease, self._quiet
+        now, lease, quiet = context.now, context.machine_lease, self._quiet
         for name, machine in self.machines.items():
             heard, answered = machine.heard_at, machine.answered_at
             if heard is not None and answered is not None and now - heard <= quiet and now - answered <= lease:
                 continue  # nearly all, and this is asked of all several times a second
-            if name in self.picture.machines or name in self.picture.on_machine:
+            if name in self.cluster_state.machines or name in self.cluster_state.tasks_by_machine:
                 self._watch_over(machine)
-        for name in [name for name in self.machines if name not in self.picture.machines]:
+        for name in [name for name in self.machines if name not in self.cluster_state.machines]:
             machine = self.machines[name]
-            if name not in self.picture.on_machine and (
-                machine.heard_at is None or node.now - machine.heard_at > timedelta(seconds=60)
+            if name not in self.cluster_state.tasks_by_machine and (
+                machine.heard_at is None or context.now - machine.heard_at > timedelta(seconds=60)
             ):
                 del self.machines[name]
 
     def _survey(self) -> None:
         """Find the machines that are ours, of all that are known: who is silent from the start is watched over too."""
-        for name in {*self.picture.on_machine, *self.picture.machines}:
+        for name in {*self.cluster_state.tasks_by_machine, *self.cluster_state.machines}:
             owner = self.membership.owner(name) or ""
             # Known from here on, not from the next epoch on: else that would count as a change of owner.
-            self.visits.owners.setdefault(name, (owner, self.node.now))
-            if owner == self.node.name:
-                self.machine(name)
+            self.misrouted.owners.setdefault(name, (owner, self.context.now))
+            if owner == self.context.name:
+                self.ensure_machine(name)
 
-    def gone_at(self, machine: Machine) -> timedelta:
+    def lease_expiry(self, machine: Machine) -> timedelta:
         """When a silent machine's lease has surely ended, whoever answered it last."""
-        last = machine.owner_since + self.node.ttl * SLACK
+        last = machine.owner_since + self.context.member_ttl * CLOCK_SKEW_FACTOR
         if machine.answered_at is not None:
             last = max(last, machine.answered_at)
-        return last + self.node.lease * SLACK + MARGIN
+        return last + self.context.machine_lease * CLOCK_SKEW_FACTOR + MARGIN
 
     def _watch_over(self, machine: Machine) -> None:
-        node = self.node
+        context = self.context
         heard = max(machine.heard_at or machine.owner_since, machine.owner_since)
-        if node.now - heard > self._quiet:
+        if context.now - heard > self._quiet:
             self._silent(machine)
-        wanted = self.picture.on_machine.get(machine.id)
-        if wanted and node.now >= self.gone_at(machine):
+        wanted = self.cluster_state.tasks_by_machine.get(machine.id)
+        if wanted and context.now >= self.lease_expiry(machine):
             machine.lost, machine.told = True, False
             for key, task in wanted.items():
-                self.ledger.exit(*key, task.attempt, Outcome(False, f"{LOST}{machine.id}"))
+                self.state_writer.record_exit(*key, task.attempt, Outcome(False, f"{LOST_NOTE_PREFIX}{machine.id}"))
 
     def _silent(self, machine: Machine) -> None:
-        known = self.ledger.machine(machine.id)
+        known = self.state_writer.machine(machine.id)
         if known is not None and known.use is MachineUse.UP:
             log.info("%s is silent", machine.id)
-            self.ledger.put_machine(machine.id, msgspec.structs.replace(known, use=MachineUse.SILENT))
+            self.state_writer.put_machine(machine.id, msgspec.structs.replace(known, use=MachineUse.SILENT))
 
-    def returned(self, name: str) -> None:
+    def handle_returned(self, name: str) -> None:
         """The cloud has answered that the machine is gone, with everything on it."""
-        self.ledger.ends.gone[name] = None
-        while len(self.ledger.ends.gone) > 1000:
-            del self.ledger.ends.gone[next(iter(self.ledger.ends.gone))]
-        for key, task in self.picture.on_machine.get(name, {}).items():
-            self.ledger.exit(*key, task.attempt, Outcome(False, f"returned {name}"))
-        known = self.ledger.machine(name)
-        if name in self.picture.heard and name not in self.picture.on_machine:
-            self.picture.forget_machine(name)
+        self.state_writer.exit_tracker.gone[name] = None
+        while len(self.state_writer.exit_tracker.gone) > 1000:
+            del self.state_writer.exit_tracker.gone[next(iter(self.state_writer.exit_tracker.gone))]
+        for key, task in self.cluster_state.tasks_by_machine.get(name, {}).items():
+            self.state_writer.record_exit(*key, task.attempt, Outcome(False, f"returned {name}"))
+        known = self.state_writer.machine(name)
+        if name in self.cluster_state.reported_machines and name not in self.cluster_state.tasks_by_machine:
+            self.cluster_state.remove_machine(name)
             known = None
         # One that was to be returned stays so: nothing is placed on it, whatever late reports say.
         if known is not None and known.use is not MachineUse.RETURNING:
-            self.ledger.put_machine(name, msgspec.structs.replace(known, use=MachineUse.GONE))
+            self.state_writer.put_machine(name, msgspec.structs.replace(known, use=MachineUse.RETURNED))
         self.machines.pop(name, None)
-        self.picture.stale.add(name)
+        self.cluster_state.dirty_for_placement.add(name)
--- a/src/gladecroft/coordination/machines/misrouted_reports.py
+++ b/src/gladecroft/coordination/machines/misrouted_reports.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from gladecroft.coordination.context import SLACK, Node
-from gladecroft.coordination.events import Asked
+from gladecroft.coordination.context import CLOCK_SKEW_FACTOR, ControllerContext
+from gladecroft.coordination.events import IncomingRequest
 from gladecroft.coordination.machines.machine import Machine
 from gladecroft.coordination.membership import Membership
 from gladecroft.protocol import peers, wire
-from gladecroft.protocol.wire import Steward
+from gladecroft.protocol.wire import ReportTarget
 
 log = logging.getLogger(__name__)
 
@@ -31,19 +31,23 @@
 BOUNCE_WINDOW = timedelta(seconds=20)
 
 
-class Visits:
+class MisroutedReports:
     """``machines``: those that this controller owns, by name; ``reported`` handles a report (anew)."""
 
     def __init__(
-        self, node: Node, membership: Membership, machines: dict[str, Machine], reported: Callable[[Asked], None]
+        self,
+        context: ControllerContext,
+        membership: Membership,
+        machines: dict[str, Machine],
+        reported: Callable[[IncomingRequest], None],
     ) -> None:
-        self.node = node
-        self.picture = node.picture
+        self.context = context
+        self.cluster_state = context.cluster_state
         self.membership = membership
         #: Each known machine's owner, and since when.
         self.owners: dict[str, tuple[str, timedelta]] = {}
         self._machines = machines
-        self._reported = reported
+        self._handle_report = reported
         self._bounced: dict[str, timedelta] = {}
         #: Machines that are to be asked whether they hear this controller, with their addresses, and those that are
         #: asked.
@@ -52,7 +56,7 @@
         #: By owner, machines that it does not hear, and when all of its machines were last asked about.
         self._unheard: dict[str, dict[str, timedelta]] = {}
         self._asked_of_all: dict[str, timedelta] = {}
-        self._moving: dict[str, tuple[Asked, timedelta]] = {}
+        self._moving: dict[str, tuple[IncomingRequest, timedelta]] = {}
         #: Machines that came here instead of to their owners, which are to be asked about them.
         self._to_ask: dict[str, dict[str, None]] = {}
         self._asking: set[str] = set()
@@ -60,32 +64,32 @@
         self._mute: dict[str, tuple[timedelta, timedelta]] = {}
 
     def epoch_changed(self) -> None:
-        owners = {name: self.membership.owner(name) or "" for name in self.picture.machines}
+        owners = {name: self.membership.owner(name) or "" for name in self.cluster_state.machines}
         for name, owner in owners.items():
             if self.owners.get(name, ("",))[0] != owner:
                 self._bounced.pop(name, None)
-                self.owners[name] = (owner, self.node.now)
+                self.owners[name] = (owner, self.context.now)
         for name in [name for name in self.owners if name not in owners]:
             del self.owners[name]
         self._to_probe.clear()
 
-    def visited(self, asked: Asked, machine: str, owner: str | None, addr: str = "") -> None:
+    def handle_report(self, request: IncomingRequest, machine: str, owner: str | None, addr: str = "") -> None:
         """Another's machine has reported here: answer with its owner's name, or keep the report until it is known
         whether the machine moves here.
 
         Who may not act moves nothing, so it keeps nothing: through an outage, with machines answered by consent,
         each kept report was handled and kept anew with every step, all of a controller's time, and never answered.
         """
-        if owner is not None and self.membership.entitled() and self.bounce(machine, owner, addr):
+        if owner is not None and self.membership.is_active() and self.bounce(machine, owner, addr):
             before = self._moving.get(machine)
             if before is not None:
                 self._send_back(before[0], owner)
-            self._moving[machine] = (asked, self.node.now + MOVE_LIMIT)
+            self._moving[machine] = (request, self.context.now + MOVE_LIMIT)
         else:
-            self._send_back(asked, owner)
+            self._send_back(request, owner)
 
-    def _send_back(self, asked: Asked, owner: str | None) -> None:
-        self.node.reply(asked.number, 421, wire.encode(Steward(owner)))
+    def _send_back(self, request: IncomingRequest, owner: str | None) -> None:
+        self.context.reply(request.request_id, 421, wire.encode(ReportTarget(owner)))
 
     def bounce(self, name: str, owner: str, addr: str = "") -> bool:
         """Another's machine reports here. Whether it waits for its answer, as it may have to move here.
@@ -96,10 +100,10 @@
         reports, and the moves never ended. Right after a change of owner a machine may still be on its way; so too
         after a time in which nobody could act.
         """
-        now = self.node.now
+        now = self.context.now
         since = self.owners.get(name, ("", self.membership.epoch_seen_at))[1]
-        known = name in self.picture.machines
-        if known and now - since > SETTLED and self.membership.settled(SETTLED):
+        known = name in self.cluster_state.machines
+        if known and now - since > SETTLED and self.membership.active_for(SETTLED):
             self._to_ask.setdefault(owner, {})[name] = None
             return True
         first = self._bounced.get(name)
@@ -119,45 +123,45 @@
             self._probe(name, self._to_probe.pop(name))
         for owner, names in self._to_ask.items():
             if names and owner not in self._asking:
-                batch = list(names)[: peers.MOST_HEARD]
+                batch = list(names)[: peers.MAX_MACHINES_PER_MESSAGE]
                 for name in batch:
                     del names[name]
                 self._ask_owner(owner, batch)
 
     def _ask_owner(self, owner: str, names: list[str]) -> None:
-        node = self.node
+        context = self.context
 
         def then(status: int, body: bytes) -> None:
             self._asking.discard(owner)
             heard: list[str] = []
             if status == 200:
                 self._mute.pop(owner, None)
-                heard = wire.decode(peers.Names, body).machines
+                heard = wire.decode(peers.ReportingMachines, body).machines
             elif status > 0:
                 return  # it lives; if it may not act for long, another epoch comes
             else:
-                since, last = self._mute.get(owner, (node.now, node.now))
-                if node.now - last > BOUNCE_WINDOW:
-                    since = node.now
-                self._mute[owner] = (since, node.now)
-                if node.now - since < node.ttl * SLACK:
+                since, last = self._mute.get(owner, (context.now, context.now))
+                if context.now - last > BOUNCE_WINDOW:
+                    since = context.now
+                self._mute[owner] = (since, context.now)
+                if context.now - since < context.member_ttl * CLOCK_SKEW_FACTOR:
                     return  # soon it answers again, or another epoch says whose they are
             self._ask_of_all(owner, [name for name in names if name not in heard])
             for name in names:
                 if name in heard or self.membership.owner(name) != owner:
                     self._bounced.pop(name, None)
                     if name in self._moving:
-                        self._moving[name] = (self._moving[name][0], node.now)  # to be answered now
-                elif self.membership.entitled():
+                        self._moving[name] = (self._moving[name][0], context.now)  # to be answered now
+                elif self.membership.is_active():
                     self._move_if_it_hears(name)
 
-        if node.peer(owner, peers.HEARS_PATH, wire.encode(peers.Names(names)), then):
+        if context.call_peer(owner, peers.REPORTING_MACHINES_PATH, wire.encode(peers.ReportingMachines(names)), then):
             self._asking.add(owner)
 
     def _ask_of_all(self, owner: str, unheard: list[str]) -> None:
         """When several of an owner's machines turn up that it does not hear, ask about all that it has, so that they
         move with one epoch: one by one as they came they took a dozen, and the last came after its lease."""
-        now = self.node.now
+        now = self.context.now
         known = self._unheard.setdefault(owner, {})
         known.update(dict.fromkeys(unheard, now))
         for name in [name for name, at in known.items() if now - at > SHARED_WITHIN]:
@@ -166,7 +170,7 @@
             return
         self._asked_of_all[owner] = now
         to_ask = self._to_ask.setdefault(owner, {})
-        for name in self.picture.machines:
+        for name in self.cluster_state.machines:
             if name not in known and self.membership.owner(name) == owner:
                 to_ask[name] = None
 
@@ -177,14 +181,14 @@
         every few seconds and was never given up. That it comes back from its owner proves nothing: copies of a dead
         machine's reports do so too, and each pair of them moved it.
         """
-        known = self.picture.machines.get(name)
+        known = self.cluster_state.machines.get(name)
         if known is not None and known.addr:
             self._to_probe[name] = known.addr
 
-    def _move(self, name: str) -> None:
+    def _request_move(self, name: str) -> None:
         owner = self.membership.owner(name)
         log.info("%s can't reach its owner%s: moving it here", name, f" {owner}" if owner else "")
-        self.membership.want_move(name)
+        self.membership.request_move(name)
 
     def _probe(self, name: str, addr: str) -> None:
         """Ask a machine for its report, only to see whether it hears."""
@@ -194,39 +198,39 @@
 
         def then(status: int, body: bytes) -> None:
             self._probing.discard(name)
-            if status == 200 and self.membership.owner(name) != self.node.name and self.membership.entitled():
-                self._move(name)
+            if status == 200 and self.membership.owner(name) != self.context.name and self.membership.is_active():
+                self._request_move(name)
 
-        self.node.ask_worker(addr, wire.STATUS_PATH, then)
+        self.context.get_from_worker(addr, wire.STATUS_PATH, then)
 
-    def hears(self, asked: Asked) -> None:
+    def handle_reporting_query(self, request: IncomingRequest) -> None:
         """Say which of some machines report here."""
-        message = self.node.read(asked, peers.Names)
+        message = self.context.decode_request(request, peers.ReportingMachines)
         if message is None:
             return
-        if not self.membership.settled(SETTLED):
+        if not self.membership.active_for(SETTLED):
             # Its machines may be on their way here: started anew, an owner once lost a hundred at its first words.
-            self.node.refuse(asked.number, 503, "not long in office", 1)
+            self.context.reply_error(request.request_id, 503, "not long in office", 1)
             return
         there = [name for name in message.machines if self._heard_lately(name)]
-        self.node.reply(asked.number, 200, wire.encode(peers.Names(there)))
+        self.context.reply(request.request_id, 200, wire.encode(peers.ReportingMachines(there)))
 
     def _heard_lately(self, name: str) -> bool:
         machine = self._machines.get(name)
-        if machine is None or machine.heard_at is None or machine.shown_at is None:
+        if machine is None or machine.heard_at is None or machine.acked_at is None:
             return False
         # That its reports arrive is not enough: who does not hear this owner is to find one that it hears.
-        usual = 1.25 * self.node.report
-        heard, shown = self.node.now - machine.heard_at, self.node.now - machine.shown_at
+        usual = 1.25 * self.context.report_interval
+        heard, shown = self.context.now - machine.heard_at, self.context.now - machine.acked_at
         return heard <= usual + 2 * MARGIN and shown <= 2 * usual + 2 * MARGIN
 
     def answer(self) -> None:
         """Answer the reports of machines that were asked for: they are ours now, or their owner is named."""
         for name, (asked, until) in list(self._moving.items()):
             owner = self.membership.owner(name)
-            if owner == self.node.name or not self.membership.entitled():
+            if owner == self.context.name or not self.membership.is_active():
                 del self._moving[name]
-                self._reported(asked)
-            elif self.node.now >= until:
+                self._handle_report(asked)
+            elif self.context.now >= until:
                 del self._moving[name]
                 self._send_back(asked, owner)
--- a/src/gladecroft/coordination/membership/epochs.py
+++ b/src/gladecroft/coordination/membership/epochs.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.coordination.context import RETRY
+from gladecroft.coordination.context import RETRY_DELAY
 
 #: How long newcomers wait for each other before they propose an epoch.
 NEXT = timedelta(seconds=0.3)
@@ -28,7 +28,7 @@
         # Those who were there before come first, but may be dead with their leases still running. After a crash of
         # all, leases of machines run out in the second that it takes until the last has come back.
         return (1 + newcomers.index(name)) * NEXT
-    return order.index(name) * 2 * RETRY
+    return order.index(name) * 2 * RETRY_DELAY
 
 
 def next_epoch(
--- a/src/gladecroft/coordination/membership/record_loader.py
+++ b/src/gladecroft/coordination/membership/record_loader.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.coordination.context import RETRY, Node
+from gladecroft.coordination.context import RETRY_DELAY, ControllerContext
 from gladecroft.protocol import wire
 
 log = logging.getLogger(__name__)
@@ -19,12 +19,12 @@
 LISTED = "~"
 
 
-class Listing:
+class RecordLoader:
     """``loaded`` is called once the picture holds all records."""
 
-    def __init__(self, node: Node, loaded: Callable[[], None]) -> None:
-        self.node = node
-        self.picture = node.picture
+    def __init__(self, context: ControllerContext, loaded: Callable[[], None]) -> None:
+        self.context = context
+        self.cluster_state = context.cluster_state
         self._loaded = loaded
         self._page_after: str | None = None
         self._ask_at = timedelta(days=-1)
@@ -34,9 +34,9 @@
 
     def _may_ask(self) -> bool:
         """Whether to ask for the next page (again) now."""
-        if self.node.now < self._ask_at:
+        if self.context.now < self._ask_at:
             return False
-        self._ask_at = self.node.now + 3 * RETRY
+        self._ask_at = self.context.now + 3 * RETRY_DELAY
         return True
 
     def load(self) -> None:
@@ -53,13 +53,13 @@
         def then(status: int, body: bytes) -> None:
             self._ask_at = timedelta(days=-1)
             if status != 200:
-                self._ask_at = self.node.now + RETRY
+                self._ask_at = self.context.now + RETRY_DELAY
                 return
-            page: wire.Range = wire.decode(wire.Range, body)
+            page: wire.RangeReply = wire.decode(wire.RangeReply, body)
             if self._page_after is None:
-                self.picture.revision = page.revision
+                self.cluster_state.revision = page.revision
             for item in page.items:
-                self.picture.apply(item.key, item.value, item.version)
+                self.cluster_state.apply(item.key, item.value, item.version)
             if page.more and page.items:
                 self._page_after = page.items[-1].key
             else:
@@ -69,20 +69,21 @@
         def epoch(status: int, body: bytes) -> None:
             self._ask_at = timedelta(days=-1)
             if status == 200:
-                item: wire.Item = wire.decode(wire.Item, body)
-                self.picture.apply(item.key, item.value, item.version)
+                item: wire.KeyValue = wire.decode(wire.KeyValue, body)
+                self.cluster_state.apply(item.key, item.value, item.version)
             elif status != 404:
-                self._ask_at = self.node.now + RETRY
+                self._ask_at = self.context.now + RETRY_DELAY
                 return
             self._page_after = None
-            self.node.loaded = True
+            self.context.records_loaded = True
             log.info("picture loaded at revision %d: %d jobs, %d machines",
-                     self.picture.revision, len(self.picture.jobs), len(self.picture.machines))  # fmt: skip
+                     self.cluster_state.revision, len(self.cluster_state.jobs),
+                     len(self.cluster_state.machines))  # fmt: skip
             self._loaded()
 
         if after == LISTED:
-            sent = self.node.state("GET", wire.key_path(rec.EPOCH), None, epoch, urgent=True)
+            sent = self.context.call_state("GET", wire.key_path(rec.EPOCH), None, epoch, urgent=True)
         else:
-            sent = self.node.state("GET", wire.range_path(rec.ROOT, after, PAGE), None, then, urgent=True)
+            sent = self.context.call_state("GET", wire.range_path(rec.ROOT, after, PAGE), None, then, urgent=True)
         if not sent:
             self._ask_at = timedelta(days=-1)
--- a/src/gladecroft/coordination/scheduling/ordering.py
+++ b/src/gladecroft/coordination/scheduling/ordering.py
@@ -5,8 +5,8 @@
 import math
 
 from gladecroft.bookkeeping.job import Job
-from gladecroft.coordination.context import Node
-from gladecroft.protocol.wire import Kind
+from gladecroft.coordination.context import ControllerContext
+from gladecroft.protocol.wire import JobKind
 
 #: Seconds that a class without aims is given.
 PATIENCE = 60.0
@@ -27,10 +27,10 @@
 CAN_WAIT = 100
 
 
-class Queue:
-    def __init__(self, node: Node) -> None:
-        self.node = node
-        self.picture = node.picture
+class JobOrdering:
+    def __init__(self, context: ControllerContext) -> None:
+        self.context = context
+        self.cluster_state = context.cluster_state
         self._aim_spans: dict[tuple[str, str], list[float]] = {}
         self._patiences: dict[str, float] = {}
 
@@ -41,11 +41,13 @@
         waits for itself: of its jobs those arrays do without the privilege that have missed every aim already. Large
         ones that were past helping took, and evicted, what would have brought many others home in time.
         """
-        return job.id in guaranteed and not (job.spec.team in self.picture.crowded and self._past_helping(job))
+        return job.id in guaranteed and not (
+            job.spec.team in self.cluster_state.teams_over_guarantee and self._past_helping(job)
+        )
 
     def _past_helping(self, job: Job) -> bool:
         """Whether nothing more can be won by an array's end. A late service is as much missed as ever."""
-        if job.spec.kind is not Kind.ARRAY:
+        if job.spec.kind is not JobKind.ARRAY:
             return False
         limits = self._limits(job)
         return bool(limits) and max(limits) <= self._age(job) <= STARVED * max(*limits, PATIENCE)
@@ -57,11 +59,11 @@
     def to_begin(self, job: Job) -> int:
         """How many of a job's tasks are to start before it counts as begun."""
         tasks = job.spec.tasks
-        first = min(BEGIN_MOST, math.ceil(BEGIN_WITH * tasks)) if job.spec.kind is Kind.ARRAY else tasks
-        return first - job.begun
+        first = min(BEGIN_MOST, math.ceil(BEGIN_WITH * tasks)) if job.spec.kind is JobKind.ARRAY else tasks
+        return first - job.ever_placed_count
 
     def _age(self, job: Job) -> float:
-        return self.node.wall.timestamp() - job.record.accepted_ms / 1000
+        return self.context.wall_time.timestamp() - job.record.accepted_ms / 1000
 
     def _limits(self, job: Job) -> list[float]:
         """By what age the job must have started (or, for its end, its tasks must have) to meet each of its aims."""
@@ -86,7 +88,7 @@
         turn = -1
         if self._has_started(job):
             # Its start is behind it; it can wait as long as its end is not in danger.
-            most = max(spec.cpus, self.picture.limits[spec.team].most_cpus)
+            most = max(spec.cpus, self.cluster_state.limits[spec.team].cpu_limit)
             steps += [limit - work / most - PATIENCE for limit in limits]
             if all(limit - age - work / most > PATIENCE for limit in limits):
                 turn = CAN_WAIT
@@ -105,7 +107,7 @@
         if spans is None:
             spans = self._aim_spans[(job.spec.job_class, kind)] = [
                 aim.within_s
-                for aim in self.node.cluster.objectives
+                for aim in self.context.cluster.objectives
                 if aim.job_class == job.spec.job_class and aim.kind == kind and aim.within_s > 0
             ]
             if len(self._aim_spans) > 1000:
@@ -114,19 +116,19 @@
 
     def _has_started(self, job: Job) -> bool:
         """Whether the aim for this job's start is behind it: as many tasks have started as may run at once."""
-        if job.spec.kind is not Kind.ARRAY or not self._aims(job, "wait") or not job.chunks:
+        if job.spec.kind is not JobKind.ARRAY or not self._aims(job, "wait") or not job.chunks:
             return False
         most = job.spec.tasks
-        limit = self.picture.limits.get(job.spec.team)
+        limit = self.cluster_state.limits.get(job.spec.team)
         if limit is not None and limit.cpus_max > 0 and job.spec.cpus > 0:
             most = min(most, int((limit.cpus_max + 1e-6) / job.spec.cpus))
-        return job.begun >= most
+        return job.ever_placed_count >= most
 
-    def patience(self, job_class: str) -> float:
+    def target_wait(self, job_class: str) -> float:
         """The shortest time that the aims give a job of this class."""
         known = self._patiences.get(job_class)
         if known is None:
-            spans = [aim.within_s for aim in self.node.cluster.objectives if aim.job_class == job_class]
+            spans = [aim.within_s for aim in self.context.cluster.objectives if aim.job_class == job_class]
             known = self._patiences[job_class] = min((span for span in spans if span > 0), default=PATIENCE)
             if len(self._patiences) > 1000:
                 self._patiences = {job_class: known}
--- a/src/gladecroft/coordination/scheduling/pending_queue.py
+++ b/src/gladecroft/coordination/scheduling/pending_queue.py
@@ -15,11 +15,11 @@
 import msgspec
 from sortedcontainers import SortedList
 
-from gladecroft.bookkeeping.cluster_state import Picture
+from gladecroft.bookkeeping.cluster_state import ClusterState
 from gladecroft.bookkeeping.job import Job
-from gladecroft.coordination.scheduling.ordering import OVERDUE, Queue
+from gladecroft.coordination.scheduling.ordering import OVERDUE, JobOrdering
 from gladecroft.policies import Panel
-from gladecroft.protocol.wire import Kind
+from gladecroft.protocol.wire import JobKind
 
 #: Where a job stands in its row: how much it is past helping, its work in core-seconds, its name.
 Place = tuple[int, float, str]
@@ -27,18 +27,18 @@
 Size = tuple[float, float, float, str]
 
 
-class Row:
+class SubQueue:
     """Jobs of one team and class, alike in privilege, priority and in the machines that they may use."""
 
-    __slots__ = ("key", "group", "pressing", "overdue", "privilege", "places", "sizes", "why", "why_round")
+    __slots__ = ("key", "group", "uses_guarantee", "overdue", "privilege", "places", "sizes", "why", "why_round")
 
     def __init__(self, key: tuple[Any, ...], job: Job, pressing: bool, overdue: bool) -> None:
         self.key = key
         self.group = (job.spec.team, job.spec.job_class)
-        self.pressing = pressing
+        self.uses_guarantee = pressing
         self.overdue = overdue
         #: What has waited too long to begin first, whatever it is; then work within a guarantee, then by priority.
-        self.privilege = (0, False, 0) if overdue else (1, not pressing, job.rank)
+        self.privilege = (0, False, 0) if overdue else (1, not pressing, job.priority_rank)
         self.places: SortedList[Place] = SortedList()
         self.sizes: SortedList[Size] = SortedList()
         #: Why the row was last closed, and in which round.
@@ -46,23 +46,23 @@
         self.why_round = -1
 
 
-class Entry(msgspec.Struct, eq=False):
-    row: Row
+class QueueEntry(msgspec.Struct, eq=False):
+    row: SubQueue
     place: Place
     size: Size
     #: When its place may change with the time, by the time of day in seconds.
     due: float
 
 
-class Lineup:
-    def __init__(self, picture: Picture, queue: Queue, panel: Panel | None = None) -> None:
-        self.picture = picture
+class PendingQueue:
+    def __init__(self, cluster_state: ClusterState, ordering: JobOrdering, panel: Panel | None = None) -> None:
+        self.cluster_state = cluster_state
         self.panel = panel
-        self.queue = queue
+        self.ordering = ordering
         self.rounds = 0
         self._resets = -1
-        self._rows: dict[tuple[Any, ...], Row] = {}
-        self._entries: dict[str, Entry] = {}
+        self._rows: dict[tuple[Any, ...], SubQueue] = {}
+        self._entries: dict[str, QueueEntry] = {}
         self._due: list[tuple[float, str]] = []
 
     def __len__(self) -> int:
@@ -70,20 +70,20 @@
 
     def refresh(self, now: float) -> None:
         """Put the jobs in their places that have changed, or whose time has come. ``now``: the time of day."""
-        picture = self.picture
-        guaranteed = picture.guaranteed()
-        if self._resets != picture.resets:
-            self._resets = picture.resets
+        cluster_state = self.cluster_state
+        guaranteed = cluster_state.guaranteed_jobs()
+        if self._resets != cluster_state.reset_count:
+            self._resets = cluster_state.reset_count
             self._rows.clear()
             self._entries.clear()
             self._due.clear()
-            picture.requeued.update(picture.queued)
-        moved, picture.requeued = picture.requeued, set()
+            cluster_state.dirty_jobs.update(cluster_state.queued_jobs)
+        moved, cluster_state.dirty_jobs = cluster_state.dirty_jobs, set()
         while self._due and self._due[0][0] <= now:
             moved.add(heapq.heappop(self._due)[1])
         for name in moved:
-            job = picture.queued.get(name)
-            self._set(name, job, job is not None and self.queue.is_pressing(job, guaranteed), now)
+            job = cluster_state.queued_jobs.get(name)
+            self._set(name, job, job is not None and self.ordering.is_pressing(job, guaranteed), now)
         if len(self._due) > 4 * len(self._entries) + 100:
             self._due = [(entry.due, name) for name, entry in self._entries.items() if entry.due < float("inf")]
             heapq.heapify(self._due)
@@ -95,7 +95,7 @@
                 self._take_out(old)
                 del self._entries[name]
             return
-        turn, work, due = self.queue.turn(job)
+        turn, work, due = self.ordering.turn(job)
         overdue = turn == OVERDUE
         key = row_key(job, pressing, self.panel is not None and self.panel.by_job(), overdue)
         place = (turn, work, name)
@@ -105,28 +105,28 @@
             self._take_out(old)
         row = self._rows.get(key)
         if row is None:
-            row = self._rows[key] = Row(key, job, pressing, overdue)
+            row = self._rows[key] = SubQueue(key, job, pressing, overdue)
         spec = job.spec
         size = (spec.cpus, spec.gpus, spec.memory_gb, name)
-        self._entries[name] = Entry(row, place, size, due)
+        self._entries[name] = QueueEntry(row, place, size, due)
         row.places.add(place)
         row.sizes.add(size)
         if due < float("inf"):
             # A due that has passed already is looked at again with the next round, not in this one.
             heapq.heappush(self._due, (max(due, now + 1e-3), name))
 
-    def _take_out(self, entry: Entry) -> None:
+    def _take_out(self, entry: QueueEntry) -> None:
         row = entry.row
         row.places.remove(entry.place)
         row.sizes.remove(entry.size)
         if not row.places:
             del self._rows[row.key]
 
-    def round(self, tier: Callable[[Row], int] | None = None) -> Round:
+    def round(self, tier: Callable[[SubQueue], int] | None = None) -> SchedulingRound:
         """Begin a round; ``refresh`` comes before it. ``tier``: what comes before privilege and priority, lowest
         first; it may rise in the course of a round."""
         self.rounds += 1
-        return Round(self.picture.queued, list(self._rows.values()), self.rounds, tier)
+        return SchedulingRound(self.cluster_state.queued_jobs, list(self._rows.values()), self.rounds, tier)
 
     def why(self, job: Job) -> tuple[int, str]:
         """In which round the job's row was last closed, and why."""
@@ -137,7 +137,7 @@
 def row_key(job: Job, pressing: bool, by_job: bool = False, overdue: bool = False) -> tuple[Any, ...]:
     spec = job.spec
     alone = ""
-    if by_job or spec.kind is Kind.GANG or ((spec.one_zone or spec.spread) and job.occupied):
+    if by_job or spec.kind is JobKind.GANG or ((spec.one_zone or spec.spread) and job.placed_count):
         # What room it looks for depends on where its other tasks are, or on what policies say of it alone.
         alone = job.id
     return (
@@ -145,7 +145,7 @@
         spec.job_class,
         not overdue,
         not pressing,
-        job.rank,
+        job.priority_rank,
         tuple(spec.types) if spec.types is not None else None,
         spec.zone,
         spec.spot,
@@ -155,11 +155,11 @@
     )
 
 
-class Round:
+class SchedulingRound:
     """One going through the rows. What is iterated over must not be refreshed meanwhile."""
 
     def __init__(
-        self, jobs: dict[str, Job], rows: list[Row], number: int, tier: Callable[[Row], int] | None = None
+        self, jobs: dict[str, Job], rows: list[SubQueue], number: int, tier: Callable[[SubQueue], int] | None = None
     ) -> None:
         self._jobs = jobs
         self.number = number
@@ -173,7 +173,7 @@
         ]
         heapq.heapify(self._heads)
 
-    def __iter__(self) -> Iterator[tuple[Job, Row]]:
+    def __iter__(self) -> Iterator[tuple[Job, SubQueue]]:
         heads, tier = self._heads, self._tier
         while heads:
             level, privilege, place, at, index, row = heapq.heappop(heads)
@@ -198,18 +198,18 @@
             spec.cpus >= cpus and spec.gpus >= gpus and spec.memory_gb >= memory for cpus, gpus, memory, _ in lacking
         )
 
-    def smallest(self, row: Row) -> Job:
+    def smallest(self, row: SubQueue) -> Job:
         return self._jobs[row.sizes[0][3]]
 
-    def close(self, row: Row, why: str) -> None:
+    def close(self, row: SubQueue, why: str) -> None:
         """Nothing more of the row is looked at in this round, for a reason that its jobs' users are told."""
         self.skip(row)
         row.why, row.why_round = why, self.number
 
-    def skip(self, row: Row) -> None:
+    def skip(self, row: SubQueue) -> None:
         self._closed.add(id(row))
 
-    def lacks(self, row: Row, job: Job) -> bool:
+    def mark_infeasible(self, row: SubQueue, job: Job) -> bool:
         """A job of the row has found no room; equal and bigger ones of the row are passed over in this round. Whether
         that goes for the whole row."""
         spec = job.spec
--- a/src/gladecroft/coordination/scheduling/placement.py
+++ b/src/gladecroft/coordination/scheduling/placement.py
@@ -18,7 +18,7 @@
 MOST_TASKS = 400
 
 
-class Need(msgspec.Struct, gc=False, frozen=True):
+class TaskRequest(msgspec.Struct, gc=False, frozen=True):
     """What one task takes, and whom it may push away. ``home``: the controller that places it."""
 
     cpus: float
@@ -35,7 +35,7 @@
     spared: Container[tuple[str, str]] = ()
 
 
-class Resident(msgspec.Struct, gc=False, eq=False):
+class PlacedTask(msgspec.Struct, gc=False, eq=False):
     """A task that is placed on a machine. ``stopping``: it has been told to go."""
 
     job: str
@@ -53,7 +53,7 @@
     together: int = 1
 
 
-class Slot(msgspec.Struct, eq=False):
+class Candidate(msgspec.Struct, eq=False):
     """A machine as the placers see it. ``owner``: the controller in whose part it is; ``mine``: that is this one."""
 
     machine: str
@@ -65,11 +65,11 @@
     gpus: float
     memory_gb: float
     images: set[str]
-    residents: list[Resident]
+    residents: list[PlacedTask]
     free_cpus: float = 0.0
     free_gpus: float = 0.0
     free_memory: float = 0.0
-    high_cpus: float = 0.0
+    high_priority_cpus: float = 0.0
     coming_cpus: float = 0.0
     coming_gpus: float = 0.0
     coming_memory: float = 0.0
@@ -80,7 +80,7 @@
     #: How many more tasks its reports can list.
     places: int = MOST_TASKS
     #: What policies make of the machine for the job at hand: it decides between machines that are otherwise equal.
-    tie: float = 0.0
+    tie_breaker: float = 0.0
 
     def count(self, line: int) -> None:
         """Work out what is free, what stopping tasks will free, and the core use of high-priority work."""
@@ -88,13 +88,13 @@
         self.borrowed_cpus = 0.0
         self.weakest = -1
         self.free_cpus, self.free_gpus, self.free_memory = self.cpus, self.gpus, self.memory_gb
-        self.high_cpus = self.coming_cpus = self.coming_gpus = self.coming_memory = 0.0
+        self.high_priority_cpus = self.coming_cpus = self.coming_gpus = self.coming_memory = 0.0
         for task in self.residents:
             self.free_cpus -= task.cpus
             self.free_gpus -= task.gpus
             self.free_memory -= task.memory_gb
             if task.rank <= line:
-                self.high_cpus += task.cpus
+                self.high_priority_cpus += task.cpus
             if task.stopping:
                 self.coming_cpus += task.cpus
                 self.coming_gpus += task.gpus
@@ -110,31 +110,31 @@
         if places <= 0:
             self.free_cpus = min(self.free_cpus, -1.0)
 
-    def fits(self, need: Need) -> bool:
+    def fits(self, need: TaskRequest) -> bool:
         return (
             need.cpus <= self.free_cpus + TINY
             and need.gpus <= self.free_gpus + TINY
             and need.memory_gb <= self.free_memory + TINY
         )
 
-    def will_fit(self, need: Need) -> bool:
+    def will_fit(self, need: TaskRequest) -> bool:
         return (
             need.cpus <= self.free_cpus + self.coming_cpus + TINY
             and need.gpus <= self.free_gpus + self.coming_gpus + TINY
             and need.memory_gb <= self.free_memory + self.coming_memory + TINY
         )
 
-    def has_victims(self, need: Need) -> bool:
+    def has_victims(self, need: TaskRequest) -> bool:
         """Whether the need might push away anything here: False means surely not."""
         return not need.gentle and (self.weakest > need.rank or need.guaranteed and self.weakest >= 0)
 
-    def add(self, task: Resident) -> None:
+    def add(self, task: PlacedTask) -> None:
         """Note a task that this round has placed."""
         self.residents.append(task)
         if not task.guaranteed:
             self.weakest = max(self.weakest, task.rank)
 
-    def free_up(self, victim: Resident) -> None:
+    def free_up(self, victim: PlacedTask) -> None:
         """Count on a victim's room, which it is about to leave."""
         victim.stopping = True
         self.coming_cpus += victim.cpus
@@ -143,29 +143,29 @@
 
     def room(self) -> tuple[float, ...]:
         return (
-            self.free_cpus, self.free_gpus, self.free_memory, self.high_cpus,
+            self.free_cpus, self.free_gpus, self.free_memory, self.high_priority_cpus,
             self.coming_cpus, self.coming_gpus, self.coming_memory,
         )  # fmt: skip
 
     def set_room(self, room: tuple[float, ...]) -> None:
         (
-            self.free_cpus, self.free_gpus, self.free_memory, self.high_cpus,
+            self.free_cpus, self.free_gpus, self.free_memory, self.high_priority_cpus,
             self.coming_cpus, self.coming_gpus, self.coming_memory,
         ) = room  # fmt: skip
 
-    def take(self, need: Need, line: int) -> None:
+    def take(self, need: TaskRequest, line: int) -> None:
         self.free_cpus -= need.cpus
         self.free_gpus -= need.gpus
         self.free_memory -= need.memory_gb
         if need.rank <= line:
-            self.high_cpus += need.cpus
+            self.high_priority_cpus += need.cpus
         self.images.add(need.image)
         self._keep_places(self.places - 1)
 
 
 class Offer(msgspec.Struct):
-    slot: Slot
-    victims: list[Resident]
+    slot: Candidate
+    victims: list[PlacedTask]
 
     def evictions(self) -> int:
         """How many tasks stop: a gang counts whole, and once."""
@@ -173,7 +173,7 @@
         return sum(gangs.values()) + sum(victim.together == 1 for victim in self.victims)
 
 
-def may_evict(need: Need, victim: Resident) -> bool:
+def may_evict(need: TaskRequest, victim: PlacedTask) -> bool:
     """PROTOCOL's preemption rules; work within its team's guarantee is never evicted."""
     if victim.guaranteed or victim.stopping or need.gentle:
         return False
@@ -182,7 +182,7 @@
     return need.rank < victim.rank or (need.guaranteed and victim.team != need.team)
 
 
-def victims_on(slot: Slot, need: Need) -> list[Resident] | None:
+def victims_on(slot: Candidate, need: TaskRequest) -> list[PlacedTask] | None:
     """The tasks to evict so that the need fits, oldest-placed first; None if it can't be made to fit."""
     cpus = slot.free_cpus + slot.coming_cpus
     if need.cpus > cpus + slot.borrowed_cpus + TINY:
@@ -191,7 +191,7 @@
         return None  # asked of every machine for each task that finds no room: so without a look at all that is there
     gpus = slot.free_gpus + slot.coming_gpus
     memory = slot.free_memory + slot.coming_memory
-    chosen: list[Resident] = []
+    chosen: list[PlacedTask] = []
     for task in slot.residents:  # oldest-placed first
         if need.cpus <= cpus + TINY and need.gpus <= gpus + TINY and need.memory_gb <= memory + TINY:
             break
@@ -206,7 +206,7 @@
     return None
 
 
-def fitting_in(need: Need, slots: Iterable[Slot]) -> list[Slot]:
+def fitting_in(need: TaskRequest, slots: Iterable[Candidate]) -> list[Candidate]:
     """The slots that hold the need now. Asked of every machine for every job that waits, so without a call for each."""
     cpus, gpus, memory = need.cpus, need.gpus, need.memory_gb
     return [
@@ -216,7 +216,7 @@
     ]
 
 
-class HighPlacer:
+class HighPriorityPlacer:
     """Ranks machines by the core use of high-priority work, busiest first, and offers the top N.
 
     With the Spot Avoiding Filter machines that need no eviction rank first. Its own part comes before the others'.
@@ -227,11 +227,11 @@
         self.avoid_evictions = avoid_evictions
 
     @staticmethod
-    def rank(need: Need, slot: Slot) -> tuple[Any, ...]:
+    def sort_key(need: TaskRequest, slot: Candidate) -> tuple[Any, ...]:
         """Its own part first, then by the core use of high-priority work, busiest first."""
-        return slot.owner != need.home, -slot.high_cpus, slot.tie, slot.machine
+        return slot.owner != need.home, -slot.high_priority_cpus, slot.tie_breaker, slot.machine
 
-    def offers(self, need: Need, slots: list[Slot]) -> list[Offer]:
+    def offers(self, need: TaskRequest, slots: list[Candidate]) -> list[Offer]:
         fitting = fitting_in(need, slots)
         offers = [Offer(slot, []) for slot in fitting]
         if not offers or not self.avoid_evictions:
@@ -241,14 +241,14 @@
                     victims = victims_on(slot, need)
                     if victims:
                         offers.append(Offer(slot, victims))
-        offers.sort(key=lambda offer: (self.avoid_evictions and bool(offer.victims), *self.rank(need, offer.slot)))
+        offers.sort(key=lambda offer: (self.avoid_evictions and bool(offer.victims), *self.sort_key(need, offer.slot)))
         return offers[: self.top]
 
 
-class LowSide:
+class LowPriorityPlacer:
     """Answers the high-priority placer's offers, and places low-priority work itself."""
 
-    def choose(self, need: Need, offers: list[Offer]) -> Offer | None:
+    def choose(self, need: TaskRequest, offers: list[Offer]) -> Offer | None:
         """The offer with the fewest evictions; among equals a cheap machine, so that dear ones empty and can be
         returned, then a cached image, then the high placer's order."""
         if not offers:
@@ -258,28 +258,28 @@
         )
 
     @staticmethod
-    def rank(need: Need, slot: Slot) -> tuple[Any, ...]:
+    def sort_key(need: TaskRequest, slot: Candidate) -> tuple[Any, ...]:
         """Machines without high-priority work first, among them cheap ones, then one's own part, cached images and
         full machines."""
         return (
-            slot.high_cpus > TINY,
+            slot.high_priority_cpus > TINY,
             not slot.spot,
             slot.owner != need.home,
             need.image not in slot.images,
             slot.free_cpus,
-            slot.tie,
+            slot.tie_breaker,
             slot.machine,
         )
 
-    def place(self, need: Need, slots: list[Slot]) -> Offer | None:
+    def place(self, need: TaskRequest, slots: list[Candidate]) -> Offer | None:
         """A machine without high-priority work if there is one; among those cheap ones, so that dear ones empty and
         can be returned, then cached images and full machines."""
         fitting = fitting_in(need, slots)
         if fitting:
-            return Offer(min(fitting, key=lambda slot: self.rank(need, slot)), [])
+            return Offer(min(fitting, key=lambda slot: self.sort_key(need, slot)), [])
         return self.push(need, slots)
 
-    def push(self, need: Need, slots: Iterable[Slot]) -> Offer | None:
+    def push(self, need: TaskRequest, slots: Iterable[Candidate]) -> Offer | None:
         """The machine with the fewest evictions; work of low priority pushes others away only for a guarantee."""
         if not need.guaranteed:
             return None
@@ -306,7 +306,9 @@
     put where it then belongs.
     """
 
-    def __init__(self, need: Need, slots: Iterable[Slot], rank: Callable[[Need, Slot], tuple[Any, ...]]) -> None:
+    def __init__(
+        self, need: TaskRequest, slots: Iterable[Candidate], rank: Callable[[TaskRequest, Candidate], tuple[Any, ...]]
+    ) -> None:
         self._need = need
         self._rank = rank
         # Ranks end in the machine's name, so no two are alike and slots are never compared.
@@ -315,10 +317,10 @@
     def __bool__(self) -> bool:
         return bool(self._order)
 
-    def __iter__(self) -> Iterator[Slot]:
+    def __iter__(self) -> Iterator[Candidate]:
         return (slot for _, slot in self._order)
 
-    def take(self, slot: Slot, line: int) -> None:
+    def take(self, slot: Candidate, line: int) -> None:
         """Set the need's room aside on a slot."""
         index = next(index for index, entry in enumerate(self._order) if entry[1] is slot)
         del self._order[index]
@@ -326,5 +328,5 @@
         if slot.fits(self._need):
             insort(self._order, (self._rank(self._need, slot), slot))
 
-    def drop(self, unwanted: Callable[[Slot], bool]) -> None:
+    def drop(self, unwanted: Callable[[Candidate], bool]) -> None:
         self._order = [entry for entry in self._order if not unwanted(entry[1])]
