--- a/src/gladecroft/coordination/scheduling/scheduler.py
+++ b/src/gladecroft/coordination/scheduling/scheduler.py
@@ -8,23 +8,32 @@
 
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import TaskRecord, TaskState
-from gladecroft.bookkeeping.transaction import Change
-from gladecroft.coordination.admission.tiers import FIRST, LAST, USUAL, Tiers
-from gladecroft.coordination.context import Node
-from gladecroft.coordination.machines import Keeper
-from gladecroft.coordination.machines.fault_attribution import accuses_itself, may_start, next_try
+from gladecroft.bookkeeping.transaction import TransactionBuilder
+from gladecroft.coordination.admission.tiers import BOOSTED, DEFERRED, NORMAL, PriorityTiers
+from gladecroft.coordination.context import ControllerContext
+from gladecroft.coordination.machines import MachineManager
+from gladecroft.coordination.machines.fault_attribution import allowed_extra_starts, is_faulty_job, retry_backoff
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.scheduling.candidate_cache import Floor
-from gladecroft.coordination.scheduling.evictor import Stops
-from gladecroft.coordination.scheduling.gang_scheduler import Gangs
-from gladecroft.coordination.scheduling.infeasible_cache import Shortage
-from gladecroft.coordination.scheduling.ordering import Queue
-from gladecroft.coordination.scheduling.pending_queue import Lineup, Round, Row
-from gladecroft.coordination.scheduling.placement import TINY, HighPlacer, LowSide, Need, Offer, Ranking, Resident, Slot
-from gladecroft.coordination.scheduling.placement_writer import Writer
-from gladecroft.coordination.scheduling.selection import Chooser, claim, need_of, one_zone, zone_room
-from gladecroft.coordination.state_writer import Ledger
-from gladecroft.protocol.wire import PRIORITY_RANK, JobSpec, Kind, MachineType
+from gladecroft.coordination.scheduling.candidate_cache import CandidateCache
+from gladecroft.coordination.scheduling.evictor import Evictor
+from gladecroft.coordination.scheduling.gang_scheduler import GangScheduler
+from gladecroft.coordination.scheduling.infeasible_cache import InfeasibleCache
+from gladecroft.coordination.scheduling.ordering import JobOrdering
+from gladecroft.coordination.scheduling.pending_queue import PendingQueue, SchedulingRound, SubQueue
+from gladecroft.coordination.scheduling.placement import (
+    TINY,
+    Candidate,
+    HighPriorityPlacer,
+    LowPriorityPlacer,
+    Offer,
+    PlacedTask,
+    Ranking,
+    TaskRequest,
+)
+from gladecroft.coordination.scheduling.placement_writer import PlacementWriter
+from gladecroft.coordination.scheduling.selection import MachineSelector, claim, need_of, one_zone, zone_room
+from gladecroft.coordination.state_writer import StateWriter
+from gladecroft.protocol.wire import PRIORITY_RANK, JobKind, JobSpec, MachineType
 
 log = logging.getLogger(__name__)
 
@@ -38,146 +47,157 @@
 FAILING = "its tasks fail on every machine: one is tried now and then"
 
 
-class Placers:
-    def __init__(self, node: Node, membership: Membership, keeper: Keeper, ledger: Ledger) -> None:
-        self.node = node
-        self.picture = node.picture
+class Scheduler:
+    def __init__(
+        self,
+        context: ControllerContext,
+        membership: Membership,
+        machine_manager: MachineManager,
+        state_writer: StateWriter,
+    ) -> None:
+        self.context = context
+        self.cluster_state = context.cluster_state
         self.membership = membership
-        self.ledger = ledger
-        self.line = PRIORITY_RANK[node.operator.priority_line]
-        self.floor = Floor(node, membership, keeper, ledger, self.line)
-        self.allowed = self.floor.allowed
-        high = HighPlacer(node.operator.offer_top, node.operator.spot_avoiding)
-        self.chooser = Chooser(high, LowSide(), self.line)
-        self.queue = Queue(node)
+        self.state_writer = state_writer
+        self.priority_line = PRIORITY_RANK[context.operator_settings.priority_line]
+        self.candidate_cache = CandidateCache(context, membership, machine_manager, state_writer, self.priority_line)
+        self.machine_allowed = self.candidate_cache.allowed
+        high = HighPriorityPlacer(context.operator_settings.offer_top, context.operator_settings.spot_avoiding)
+        self.chooser = MachineSelector(high, LowPriorityPlacer(), self.priority_line)
+        self.ordering = JobOrdering(context)
         #: All waiting work in the order in which it is planned.
-        self.lineup = Lineup(node.picture, self.queue, node.panel)
-        self.stops = Stops(node, membership, self.floor, self.chooser)
-        self.writer = Writer(node, self.floor)
+        self.pending = PendingQueue(context.cluster_state, self.ordering, context.panel)
+        self.stops = Evictor(context, membership, self.candidate_cache, self.chooser)
+        self.writer = PlacementWriter(context, self.candidate_cache)
         #: Why jobs wait that a round has gone through, and the round. Of the others their row tells.
         self.waits: dict[str, tuple[int, str]] = {}
         self._short = ""
         #: What is agreed for this round, if anything is, and where that is known.
-        self._tiers: Tiers | None = None
-        self.agreed: Callable[[], Tiers | None] | None = None
-        self.gangs = Gangs(node, ledger, self.floor, self.chooser, self.stops, self.writer, self.wait)
+        self._tiers: PriorityTiers | None = None
+        self.current_tiers: Callable[[], PriorityTiers | None] | None = None
+        self.gangs = GangScheduler(
+            context, state_writer, self.candidate_cache, self.chooser, self.stops, self.writer, self.wait
+        )
         self._retry: dict[tuple[str, int, int], timedelta] = {}
         #: Of jobs whose tasks fail on every machine: how many tries there were since that was seen, and when the next
         #: is due.
         self._tries: dict[str, tuple[int, timedelta]] = {}
-        self.shortage = Shortage(self.floor, self.line)
+        self.shortage = InfeasibleCache(self.candidate_cache, self.priority_line)
         #: Cores on machines with high-priority work that low-priority work may still take in this round.
         self._spare = 0.0
-        ledger.composers.append(self.stops.drain)
-        ledger.composers.append(self.stops.mend_gangs)
-        ledger.composers.append(self.place)
-        ledger.composers.append(self.stops.move)
+        state_writer.composers.append(self.stops.drain)
+        state_writer.composers.append(self.stops.mend_gangs)
+        state_writer.composers.append(self.place)
+        state_writer.composers.append(self.stops.move)
 
-    def fits(self, spec: JobSpec) -> str | None | bool:
+    def infeasible_reason(self, spec: JobSpec) -> str | None | bool:
         """None if some machine type takes a task; why not; False if the types are not known yet."""
         if not self.types:
             return False
         for kind in self.types.values():
-            if self.floor.type_allowed(spec, kind) and (spec.zone is None or spec.zone in kind.zones):
+            if self.candidate_cache.type_allowed(spec, kind) and (spec.zone is None or spec.zone in kind.zones):
                 return None
         return "a task fits no allowed machine type"
 
     @property
     def types(self) -> dict[str, MachineType]:
-        return self.floor.types
+        return self.candidate_cache.types
 
-    def zone_room(self, job: Job) -> tuple[dict[str, int], int]:
+    def zone_counts_and_cap(self, job: Job) -> tuple[dict[str, int], int]:
         """How many of the job's tasks are in each zone, and how many may be."""
-        return zone_room(self.picture, job)
+        return zone_room(self.cluster_state, job)
 
-    def place(self, change: Change) -> None:
+    def place(self, txn: TransactionBuilder) -> None:
         """Place our waiting tasks.
 
         The plan is made for all waiting work in one order, other homes' too, and only our part of it is carried
         out: what others are about to take is left to them. Without this two homes took the same room, and room freed
         by an eviction went to the next borrower, who was evicted again.
         """
-        node = self.node
-        if len(self.waits) > 2 * len(self.picture.queued) + 100:
-            for name in [name for name in self.waits if name not in self.picture.queued]:
+        context = self.context
+        if len(self.waits) > 2 * len(self.cluster_state.queued_jobs) + 100:
+            for name in [name for name in self.waits if name not in self.cluster_state.queued_jobs]:
                 del self.waits[name]
-        self.ledger.waiting = 0
+        self.state_writer.waiting_jobs = 0
         if not self._any_of_ours():
-            if len(self.picture.requeued) > MANY_MOVED:
-                self.lineup.refresh(node.wall.timestamp())  # else the names of all jobs that ever were would be kept
+            if len(self.cluster_state.dirty_jobs) > MANY_MOVED:
+                self.pending.refresh(
+                    context.wall_time.timestamp()
+                )  # else the names of all jobs that ever were would be kept
             return
-        self.lineup.refresh(node.wall.timestamp())
-        self.ledger.waiting = len(self.lineup)
-        self.floor.refresh(self.picture.guaranteed())
+        self.pending.refresh(context.wall_time.timestamp())
+        self.state_writer.waiting_jobs = len(self.pending)
+        self.candidate_cache.refresh(self.cluster_state.guaranteed_jobs())
         self.shortage.clear()
-        self._spare = self.spare_cpus()
+        self._spare = self.low_priority_headroom()
         most = MOST_PER_ROUND
-        self._tiers, round_ = self.begin()
+        self._tiers, round_ = self.start_round()
         for job, row in round_:
-            if self.held(job):
+            if self.is_held(job):
                 continue
-            few = self.few(job, row)
+            few = self.start_limit(job, row)
             if few == 0:
                 continue
             home = self.membership.job_home(job.spec) or ""
-            place = self.gangs.place if job.spec.kind is Kind.GANG else self._place_job
+            place = self.gangs.place if job.spec.kind is JobKind.GANG else self._place_job
             self._short = ""
             most_now = most if few is None else min(few, most)
-            taken = place(change, job, row.pressing, home, most_now)
+            taken = place(txn, job, row.uses_guarantee, home, most_now)
             most -= taken
             if few is not None:
                 self._took_few(job, taken, most_now)
             if self._tiers is not None:
-                self._tiers.plan(row.group, taken * job.spec.cpus)
+                self._tiers.add_planned(row.group, taken * job.spec.cpus)
             # Once the transaction is full there is nothing more to carry out; the next round plans anew.
-            if most <= 0 or not change.room(1, 0):
+            if most <= 0 or not txn.has_room(1, 0):
                 break
-            first = self._tiers is not None and self._tiers.of(row.group, row.pressing) == FIRST
+            first = self._tiers is not None and self._tiers.tier_of(row.group, row.uses_guarantee) == BOOSTED
             if self._short == NO_ROOM and (first or row.overdue):
-                self.shortage.set_aside(job, self.picture.waiting.smallest())
+                self.shortage.set_aside(job, self.cluster_state.workload.smallest_task_cpus())
             if self._short:
-                self._give_up(round_, row, job, change)
+                self._give_up(round_, row, job, txn)
 
-    def begin(self) -> tuple[Tiers | None, Round]:
+    def start_round(self) -> tuple[PriorityTiers | None, SchedulingRound]:
         """A round through all that waits, in the order that is agreed; ``Lineup.refresh`` comes before it."""
-        tiers = None if self.agreed is None else self.agreed()
+        tiers = None if self.current_tiers is None else self.current_tiers()
         if tiers is None:
-            return None, self.lineup.round()
+            return None, self.pending.round()
         # Having more than its share is no reason why a job should not begin for minutes.
-        return tiers, self.lineup.round(
-            lambda row: min(tiers.of(row.group, row.pressing), USUAL if row.overdue else LAST)
+        return tiers, self.pending.round(
+            lambda row: min(tiers.tier_of(row.group, row.uses_guarantee), NORMAL if row.overdue else DEFERRED)
         )
 
     def _any_of_ours(self) -> bool:
         """Whether any waiting task is ours to place."""
-        me = self.node.name
+        me = self.context.name
         return any(
-            waits.jobs and self.membership.home(team) == me for team, waits in self.picture.waiting.teams.items()
+            waits.queued_jobs and self.membership.home(team) == me
+            for team, waits in self.cluster_state.workload.teams.items()
         )
 
-    def _give_up(self, round_: Round, row: Row, job: Job, change: Change) -> None:
+    def _give_up(self, round_: SchedulingRound, row: SubQueue, job: Job, txn: TransactionBuilder) -> None:
         """A job could not be placed whole: close its row if that goes for the smallest in it too."""
         why = self._short
         if why == LIMIT:
-            whole = change.team_room(round_.smallest(row)) <= 0
+            whole = txn.remaining_team_tasks(round_.smallest(row)) <= 0
         else:
-            whole = why == NO_MACHINE or round_.lacks(row, job)
+            whole = why == NO_MACHINE or round_.mark_infeasible(row, job)
         if whole:
             round_.close(row, why)
 
-    def held(self, job: Job) -> bool:
+    def is_held(self, job: Job) -> bool:
         """Whether a policy says that the job's tasks may not start yet."""
-        panel = self.node.panel
+        panel = self.context.panel
         why = panel.hold(job) if panel is not None and panel.holds() else None
-        if why is not None and self.membership.job_home(job.spec) == self.node.name:
+        if why is not None and self.membership.job_home(job.spec) == self.context.name:
             self.wait(job.id, why)
         return why is not None
 
-    def few(self, job: Job, row: Row) -> int | None:
+    def start_limit(self, job: Job, row: SubQueue) -> int | None:
         """How many of a job's tasks may start now; None: as many as there is room for."""
         few = self._failing(job)
-        if few is None and row.overdue and job.spec.kind is not Kind.GANG:
-            few = self.queue.to_begin(job)
+        if few is None and row.overdue and job.spec.kind is not JobKind.GANG:
+            few = self.ordering.to_begin(job)
         return few
 
     def _failing(self, job: Job) -> int | None:
@@ -186,15 +206,15 @@
         Started again each by itself, the tasks of one array that was submitted with a mistake took hundreds of starts,
         changes and fetches of images, and machines were rented for them.
         """
-        if not accuses_itself(job):
+        if not is_faulty_job(job):
             self._tries.pop(job.id, None)
             return None
-        few = may_start(job, self.node.wall.timestamp())
-        tries, due = self._tries.setdefault(job.id, (0, self.node.now + next_try(0)))
-        if len(self._tries) > 2 * len(self.picture.queued) + 100:
-            for name in [name for name in self._tries if name not in self.picture.queued]:
+        few = allowed_extra_starts(job, self.context.wall_time.timestamp())
+        tries, due = self._tries.setdefault(job.id, (0, self.context.now + retry_backoff(0)))
+        if len(self._tries) > 2 * len(self.cluster_state.queued_jobs) + 100:
+            for name in [name for name in self._tries if name not in self.cluster_state.queued_jobs]:
                 del self._tries[name]
-        if not job.occupied and self.node.now < due:
+        if not job.placed_count and self.context.now < due:
             few = 0
         return few
 
@@ -203,7 +223,7 @@
         if job.id in self._tries:
             if taken:
                 tries = self._tries[job.id][0] + 1
-                self._tries[job.id] = (tries, self.node.now + next_try(tries))
+                self._tries[job.id] = (tries, self.context.now + retry_backoff(tries))
             # Its tasks do not wait for room, so its row is not closed for others.
             self._short = ""
         if taken >= few:
@@ -212,38 +232,38 @@
     def wait(self, job: str, why: str) -> None:
         """Note why a job waits; empty: it does no more."""
         if why:
-            self.waits[job] = (self.lineup.rounds, why)
+            self.waits[job] = (self.pending.rounds, why)
         else:
             self.waits.pop(job, None)
 
-    def spare_cpus(self) -> float:
+    def low_priority_headroom(self) -> float:
         """What is free on machines with high-priority work, less a reserve for more of that.
 
         Low-priority work that filled these machines was evicted again by the next services, and began anew.
         """
         free = held = 0.0
-        for slot in self.floor.slots.values():
-            if slot.high_cpus > TINY:
+        for slot in self.candidate_cache.candidates.values():
+            if slot.high_priority_cpus > TINY:
                 free += max(0.0, slot.free_cpus)
-                held += slot.high_cpus
-        return free - self.node.operator.machine_reserve * held
+                held += slot.high_priority_cpus
+        return free - self.context.operator_settings.machine_reserve * held
 
-    def _place_job(self, change: Change, job: Job, inside: bool, home: str, most: int) -> int:
+    def _place_job(self, txn: TransactionBuilder, job: Job, inside: bool, home: str, most: int) -> int:
         """Place one job's waiting tasks as far as they go, or only set the room aside if it is another home's job."""
         spec = job.spec
-        claimed = self.ledger.claimed(spec.team)
-        ours = home == self.node.name and claimed
-        room = min(change.team_room(job), most)
+        claimed = self.state_writer.holds_claim(spec.team)
+        ours = home == self.context.name and claimed
+        room = min(txn.remaining_team_tasks(job), most)
         why = ""
-        zones, cap = zone_room(self.picture, job) if spec.spread or spec.one_zone else ({}, spec.tasks)
+        zones, cap = zone_room(self.cluster_state, job) if spec.spread or spec.one_zone else ({}, spec.tasks)
         if spec.one_zone and cap < spec.tasks:
             room, why = 0, "some of its machines are not known yet"
         tiers = self._tiers
         group = (spec.team, spec.job_class)
-        tier = USUAL if tiers is None else tiers.of(group, inside)
-        spared = () if tiers is None else tiers.spared(group, inside, tier)
-        need = need_of(job, inside, home, tier == LAST, spared)
-        high = need.rank <= self.floor.line
+        tier = NORMAL if tiers is None else tiers.tier_of(group, inside)
+        spared = () if tiers is None else tiers.protected_groups(group, inside, tier)
+        need = need_of(job, inside, home, tier == DEFERRED, spared)
+        high = need.rank <= self.candidate_cache.line
         kept_out = not high and not inside and self._spare < need.cpus
         taken = evicted = 0
         closed = [zone for zone, count in zones.items() if count >= cap] if spec.spread else []
@@ -255,38 +275,38 @@
             tuple(sorted(closed)),
             high or inside,
         )
-        if self.node.panel is not None and self.node.panel.by_job():
+        if self.context.panel is not None and self.context.panel.by_job():
             where = (*where, job.id)  # what is no room for one job may be room for another
         push = (*where, need.rank, need.guaranteed, need.team, tier)
         ranking: Ranking | None = None
-        usable: list[Slot] = []
+        usable: list[Candidate] = []
         # Where nothing is free only what comes up or may be pushed away is looked at.
         nothing_free = room > 0 and not spec.one_zone and self.shortage.of(where, need)
         if nothing_free:
             usable = self.shortage.to_push(where, push, job, need, closed)
-            ranking = Ranking(need, (), self.chooser.high.rank if high else self.chooser.low.rank)
+            ranking = Ranking(need, (), self.chooser.high.sort_key if high else self.chooser.low.sort_key)
         if nothing_free and not usable:
             room = 0
             why = self._short = NO_ROOM
             self.shortage.tell_why(where, job)
-        for number in job.queued_tasks():
+        for number in job.queued_numbers():
             if taken >= room:
                 if not why and room < most:
                     self._short = LIMIT
                 why = why or LIMIT
                 break
-            before = change.task(job, number)
+            before = txn.task(job, number)
             if before.state is not TaskState.QUEUED or not self._due(job.id, number, before):
                 continue
             if ranking is None:
                 # Tasks on machines that are not known may take up all that any zone may have: then it is closed though
                 # none of the job's tasks is known to be there.
-                usable = self.floor.usable(job, closed) if cap > 0 else []
+                usable = self.candidate_cache.usable(job, closed) if cap > 0 else []
                 if spec.one_zone:
                     usable = one_zone(usable, zones)
                 if kept_out:
-                    usable = [slot for slot in usable if slot.high_cpus <= TINY]
-                ranking = Ranking(need, usable, self.chooser.high.rank if high else self.chooser.low.rank)
+                    usable = [slot for slot in usable if slot.high_priority_cpus <= TINY]
+                ranking = Ranking(need, usable, self.chooser.high.sort_key if high else self.chooser.low.sort_key)
             offer = self.chooser.choose(need, ranking, usable, before)
             if offer is None:
                 if usable and not spec.one_zone and not (spec.spread and taken):
@@ -299,24 +319,34 @@
                 break
             slot = offer.slot
             taken += 1
-            self.floor.plan_on(slot)
+            self.candidate_cache.plan_on(slot)
             if offer.victims:
-                evicted += self._evict(change, job, need, offer, ours)
+                evicted += self._evict(txn, job, need, offer, ours)
                 why = "waiting for evicted work to stop"
             elif not slot.fits(need):
                 why = "waiting for evicted work to stop"
                 claim(slot, need)
             else:
-                if ours and not self.writer.put(change, job, number, before, slot):
+                if ours and not self.writer.put(txn, job, number, before, slot):
                     ours, why = False, "about to be placed"
-                ranking.take(slot, self.floor.line)
-                if not high and not inside and slot.high_cpus > TINY:
+                ranking.take(slot, self.candidate_cache.line)
+                if not high and not inside and slot.high_priority_cpus > TINY:
                     self._spare -= need.cpus
                     if self._spare < need.cpus:
-                        usable = [slot for slot in usable if slot.high_cpus <= TINY]
-                        ranking.drop(lambda slot: slot.high_cpus > TINY)
+                        usable = [slot for slot in usable if slot.high_priority_cpus <= TINY]
+                        ranking.drop(lambda slot: slot.high_priority_cpus > TINY)
                 slot.add(
-                    Resident(job.id, number, spec.cpus, spec.gpus, spec.memory_gb, job.rank, spec.team, inside, 1 << 40)
+                    PlacedTask(
+                        job.id,
+                        number,
+                        spec.cpus,
+                        spec.gpus,
+                        spec.memory_gb,
+                        job.priority_rank,
+                        spec.team,
+                        inside,
+                        1 << 40,
+                    )
                 )
             if spec.spread:
                 zones[slot.zone] = zones.get(slot.zone, 0) + 1
@@ -324,11 +354,11 @@
                     full = slot.zone
                     usable = [slot for slot in usable if slot.zone != full]
                     ranking.drop(lambda slot, full=full: slot.zone == full)  # type: ignore[misc]
-        if home == self.node.name:
+        if home == self.context.name:
             if not claimed:
                 why = why or "about to be placed"
             if why:
-                refusal = self.floor.refusals.get(job.id)
+                refusal = self.candidate_cache.refusals.get(job.id)
                 why = why if refusal is None else f"{why}; {refusal}"
             self.wait(job.id, why)
             if evicted:
@@ -336,15 +366,15 @@
                 log.info("%s evicts %d tasks", job.id, evicted)
         return taken
 
-    def _evict(self, change: Change, job: Job, need: Need, offer: Offer, ours: bool) -> int:
+    def _evict(self, txn: TransactionBuilder, job: Job, need: TaskRequest, offer: Offer, ours: bool) -> int:
         count = 0
         slot = offer.slot
         for victim in offer.victims:
-            other = self.picture.jobs.get(victim.job)
+            other = self.cluster_state.jobs.get(victim.job)
             if (
                 not ours
                 or other is not None
-                and self.stops.stop_with_gang(change, other, victim.number, f"evicted for {job.id}")
+                and self.stops.stop_with_gang(txn, other, victim.number, f"evicted for {job.id}")
             ):
                 slot.free_up(victim)
                 count += 1
@@ -361,18 +391,18 @@
             if len(self._retry) > 20_000:
                 self._retry.clear()
             wait = timedelta(seconds=min(BACK_OFF_MOST, 2.0 ** (task.failures - 1)))
-            due = self._retry[key] = self.node.now + wait
-        return self.node.now >= due
+            due = self._retry[key] = self.context.now + wait
+        return self.context.now >= due
 
-    def reason(self, job: Job) -> str:
+    def wait_reason(self, job: Job) -> str:
         """Why a job waits, or why some of its tasks last stopped."""
         parts = []
         if job.queued_count:
-            panel = self.node.panel
+            panel = self.context.panel
             held = panel.hold(job) if panel is not None and panel.holds() else None
             # What is known of the row is newer than what is known of a job that the last rounds have not come to.
-            _, why = max(self.waits.get(job.id, (-1, "")), self.lineup.why(job), key=lambda known: known[0])
-            failing = FAILING if accuses_itself(job) else ""
+            _, why = max(self.waits.get(job.id, (-1, "")), self.pending.why(job), key=lambda known: known[0])
+            failing = FAILING if is_faulty_job(job) else ""
             parts.append(held or failing or why or "waiting to be placed")
-            parts += job.notes()
+            parts += job.queued_notes()
         return "; ".join(parts)
--- a/src/gladecroft/coordination/scheduling/selection.py
+++ b/src/gladecroft/coordination/scheduling/selection.py
@@ -4,41 +4,53 @@
 
 from collections.abc import Container
 
-from gladecroft.bookkeeping.cluster_state import Picture
+from gladecroft.bookkeeping.cluster_state import ClusterState
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import TaskRecord
-from gladecroft.coordination.scheduling.placement import TINY, HighPlacer, LowSide, Need, Offer, Ranking, Slot
+from gladecroft.coordination.scheduling.placement import (
+    TINY,
+    Candidate,
+    HighPriorityPlacer,
+    LowPriorityPlacer,
+    Offer,
+    Ranking,
+    TaskRequest,
+)
 
 #: Stands for the zone of a machine that is not known.
 UNKNOWN = "?"
 
 
-def need_of(job: Job, inside: bool, home: str, gentle: bool = False, spared: Container[tuple[str, str]] = ()) -> Need:
+def need_of(
+    job: Job, inside: bool, home: str, gentle: bool = False, spared: Container[tuple[str, str]] = ()
+) -> TaskRequest:
     spec = job.spec
-    return Need(spec.cpus, spec.gpus, spec.memory_gb, spec.image, job.rank, spec.team, inside, home, gentle, spared)
+    return TaskRequest(
+        spec.cpus, spec.gpus, spec.memory_gb, spec.image, job.priority_rank, spec.team, inside, home, gentle, spared
+    )
 
 
-def zone_room(picture: Picture, job: Job) -> tuple[dict[str, int], int]:
+def zone_room(cluster_state: ClusterState, job: Job) -> tuple[dict[str, int], int]:
     """How many of the job's tasks are in each zone, and how many may be.
 
     A task on a machine that this controller does not know (any more, or yet) may be in any zone. Counted in none,
     it let more than half of a service into one zone after all controllers had been started again.
     """
-    zones = zones_used(picture, job)
-    return zones, job.spec.zone_cap() - zones.pop(UNKNOWN, 0)
+    zones = zones_used(cluster_state, job)
+    return zones, job.spec.max_tasks_per_zone() - zones.pop(UNKNOWN, 0)
 
 
-def zones_used(picture: Picture, job: Job) -> dict[str, int]:
+def zones_used(cluster_state: ClusterState, job: Job) -> dict[str, int]:
     zones: dict[str, int] = {}
-    for _, task in job.placed():
-        machine = picture.machines.get(task.machine)
+    for _, task in job.placed_tasks():
+        machine = cluster_state.machines.get(task.machine)
         if task.machine:
             zone = machine.zone if machine is not None else UNKNOWN
             zones[zone] = zones.get(zone, 0) + 1
     return zones
 
 
-def one_zone(slots: list[Slot], zones: dict[str, int]) -> list[Slot]:
+def one_zone(slots: list[Candidate], zones: dict[str, int]) -> list[Candidate]:
     """All tasks go to one zone: where some are already, else where most fit."""
     if zones:
         zone = next(iter(zones))
@@ -52,7 +64,7 @@
     return [slot for slot in slots if slot.zone == best]
 
 
-def claim(slot: Slot, need: Need) -> None:
+def claim(slot: Candidate, need: TaskRequest) -> None:
     """Set room that is being freed aside, so that it is not counted on twice in this round."""
     slot.coming_cpus -= max(0.0, need.cpus - max(0.0, slot.free_cpus))
     slot.coming_gpus -= max(0.0, need.gpus - max(0.0, slot.free_gpus))
@@ -62,16 +74,16 @@
     slot.free_memory = max(0.0, slot.free_memory - need.memory_gb)
 
 
-class Chooser:
+class MachineSelector:
     """The two placers, and how they come to one offer. ``line``: the lowest priority of the high side."""
 
-    def __init__(self, high: HighPlacer, low: LowSide, line: int) -> None:
+    def __init__(self, high: HighPriorityPlacer, low: LowPriorityPlacer, line: int) -> None:
         self.high = high
         self.low = low
         self._line = line
 
     def choose(
-        self, need: Need, ranking: Ranking, usable: list[Slot], before: TaskRecord | None = None
+        self, need: TaskRequest, ranking: Ranking, usable: list[Candidate], before: TaskRecord | None = None
     ) -> Offer | None:
         """The two placers' choice for one task: where it fits, else where room comes up or can be made."""
         shunned = before.note if before is not None and before.failures else ""
@@ -96,9 +108,9 @@
                     return Offer(slot, [])
         return self.low.push(need, usable)
 
-    def _top(self, ranking: Ranking, shunned: str) -> list[Slot]:
+    def _top(self, ranking: Ranking, shunned: str) -> list[Candidate]:
         """The first N of a ranking; a machine on which the task has just failed only if there is no other."""
-        top: list[Slot] = []
+        top: list[Candidate] = []
         for slot in ranking:
             if not shunned or not shunned.endswith(slot.machine):
                 top.append(slot)
--- a/src/gladecroft/coordination/state_writer/exits.py
+++ b/src/gladecroft/coordination/state_writer/exits.py
@@ -8,9 +8,9 @@
 
 from gladecroft.bookkeeping import records as rec
 from gladecroft.bookkeeping.job import Job
-from gladecroft.bookkeeping.transaction import Change
-from gladecroft.coordination.context import Node
-from gladecroft.coordination.events import Asked
+from gladecroft.bookkeeping.transaction import TransactionBuilder
+from gladecroft.coordination.context import ControllerContext
+from gladecroft.coordination.events import IncomingRequest
 from gladecroft.coordination.membership import Membership
 from gladecroft.protocol import peers, wire
 
@@ -22,12 +22,12 @@
 TELL_AGAIN = timedelta(seconds=2)
 TELL_IN_VAIN = timedelta(milliseconds=1500)
 #: Begins the note of what was lost with its machine, whose name follows.
-LOST = "lost "
+LOST_NOTE_PREFIX = "lost "
 
 #: A job's name, the task's number, the attempt.
 AttemptKey = tuple[str, int, int]
 #: A job's name and the number of its chunk.
-Chunk = tuple[str, int]
+ChunkKey = tuple[str, int]
 
 
 class Outcome(msgspec.Struct, frozen=True):
@@ -38,32 +38,32 @@
     failed: bool = False
 
 
-class Gathered(msgspec.Struct):
+class ExitBatch(msgspec.Struct):
     """The ends in one chunk that are to be noted together: each task's number, its attempt, how it ended."""
 
     since: timedelta
-    ends: list[tuple[int, int, Outcome]] = []
-    done: int = 0
+    exits: list[tuple[int, int, Outcome]] = []
+    completed: int = 0
     machines: set[str] = set()
 
 
-class Ends:
-    def __init__(self, node: Node, membership: Membership) -> None:
-        self.node = node
-        self.picture = node.picture
+class ExitTracker:
+    def __init__(self, context: ControllerContext, membership: Membership) -> None:
+        self.context = context
+        self.cluster_state = context.cluster_state
         self.membership = membership
         self.exits: dict[AttemptKey, Outcome] = {}
-        self.since: dict[AttemptKey, timedelta] = {}
+        self.recorded_at: dict[AttemptKey, timedelta] = {}
         #: The same ends by job and chunk, what of that has been gathered, and the chunks that have new ones. While
         #: changes are short thousands wait; all looked at in each round, they took a seventh of the core's time, and of
         #: a job with many chunks all were gathered anew for each end.
         self._of_job: dict[str, dict[int, dict[AttemptKey, Outcome]]] = {}
-        self._gathered: dict[Chunk, Gathered] = {}
-        self._news: set[Chunk] = set()
+        self._gathered: dict[ChunkKey, ExitBatch] = {}
+        self._news: set[ChunkKey] = set()
         #: Machines that the cloud has taken back by this controller's request: their attempts are gone for good.
         self.gone: dict[str, None] = {}
         #: Machines of which some sibling could long not be told.
-        self.untold_machines: dict[str, None] = {}
+        self.unannounced_machines: dict[str, None] = {}
         #: When the home of an attempt's job was last told of its end, and which ends it has taken in.
         self._told: dict[AttemptKey, timedelta] = {}
         self._with_home: set[AttemptKey] = set()
@@ -71,25 +71,27 @@
         self._mail_read: dict[str, tuple[int, int]] = {}
         self._mailed_at = timedelta(days=-1)
 
-    def exit(self, job: str, number: int, attempt: int, outcome: Outcome) -> None:
+    def record_exit(self, job: str, number: int, attempt: int, outcome: Outcome) -> None:
         """Note that an attempt is proven gone."""
         key = (job, number, attempt)
         if key not in self.exits:
             self.exits[key] = outcome
-            self.since[key] = self.node.now
-            index = number // self.picture.size
+            self.recorded_at[key] = self.context.now
+            index = number // self.cluster_state.chunk_size
             self._of_job.setdefault(job, {}).setdefault(index, {})[key] = outcome
             self._gathered.pop((job, index), None)
             self._news.add((job, index))
-            self.picture.end((job, number), attempt)
-            if outcome.note.startswith(LOST):
+            self.cluster_state.set_unrecorded_exit((job, number), attempt)
+            if outcome.note.startswith(LOST_NOTE_PREFIX):
                 # The machine's record may say so only later. Placed there meanwhile, a task would be lost at once.
-                self.picture.doubt([outcome.note.removeprefix(LOST)], self.node.now + self.node.lease)
+                self.cluster_state.suspend_placement(
+                    [outcome.note.removeprefix(LOST_NOTE_PREFIX)], self.context.now + self.context.machine_lease
+                )
 
     def settle(self, key: tuple[str, int, int]) -> None:
         del self.exits[key]
-        del self.since[key]
-        index = key[1] // self.picture.size
+        del self.recorded_at[key]
+        index = key[1] // self.cluster_state.chunk_size
         of_job = self._of_job[key[0]]
         del of_job[index][key]
         if not of_job[index]:
@@ -97,7 +99,7 @@
         if not of_job:
             del self._of_job[key[0]]
         self._gathered.pop((key[0], index), None)
-        self.picture.end(key[:2], None)
+        self.cluster_state.set_unrecorded_exit(key[:2], None)
         self._told.pop(key, None)
         self._with_home.discard(key)
 
@@ -105,14 +107,14 @@
         """All ends of a job that are known ahead of the records."""
         return [end for chunk in self._of_job.get(job, {}).values() for end in chunk.items()]
 
-    def by_chunk(self) -> dict[Chunk, Gathered]:
+    def batches(self) -> dict[ChunkKey, ExitBatch]:
         """The ends to be noted here, by job and chunk, the most pressing first; what the records tell is settled."""
-        news = self._news | self.picture.chunk_news
+        news = self._news | self.cluster_state.changed_chunks
         self._news.clear()
-        self.picture.chunk_news.clear()
+        self.cluster_state.changed_chunks.clear()
         for name, index in news:
             chunks = self._of_job.get(name, {})
-            job = self.picture.jobs.get(name)
+            job = self.cluster_state.jobs.get(name)
             # Of a job that is no more, all.
             for each in list(chunks) if job is None else [index]:
                 for key in list(chunks.get(each, ())):
@@ -122,20 +124,20 @@
         groups = {
             (name, index): self._gather(job, index)
             for name, chunks in self._of_job.items()
-            if (job := self.picture.jobs.get(name)) is not None and not self.left_to_home(job)
+            if (job := self.cluster_state.jobs.get(name)) is not None and not self.is_recorded_by_home(job)
             for index in chunks
         }
         return dict(sorted(groups.items(), key=lambda group: group[1].since))
 
-    def _gather(self, job: Job, index: int) -> Gathered:
+    def _gather(self, job: Job, index: int) -> ExitBatch:
         gathered = self._gathered.get((job.id, index))
         if gathered is None:
             ends = self._of_job[job.id][index]
-            gathered = self._gathered[job.id, index] = Gathered(self.since[next(iter(ends))])
+            gathered = self._gathered[job.id, index] = ExitBatch(self.recorded_at[next(iter(ends))])
             for key, outcome in ends.items():
                 _, number, attempt = key
-                gathered.ends.append((number, attempt, outcome))
-                gathered.done += outcome.done
+                gathered.exits.append((number, attempt, outcome))
+                gathered.completed += outcome.done
                 gathered.machines.add(job.task(number).machine)
         return gathered
 
@@ -147,37 +149,37 @@
         self._told.clear()
         self._with_home.clear()
         for name, number, attempt in list(self.exits):
-            job = self.picture.jobs.get(name)
+            job = self.cluster_state.jobs.get(name)
             machine = "" if job is None else job.task(number).machine
-            ours = continuous and self.membership.owner(machine) == self.node.name
+            ours = continuous and self.membership.owner(machine) == self.context.name
             if machine not in self.gone and not ours:
                 self.settle((name, number, attempt))
 
-    def tell(self) -> None:
+    def notify_homes(self) -> None:
         """Tell the homes of other jobs which of their attempts are proven gone here.
 
         A home alone writes its teams' records. When each owner wrote the ends on its own machines, most commits of a
         large fleet failed because another controller had just changed the same team or job.
         """
-        node, epoch = self.node, self.picture.epoch
-        if node.now - self._told_at < TELL_EVERY or epoch is None or not self.membership.entitled():
+        context, epoch = self.context, self.cluster_state.epoch
+        if context.now - self._told_at < TELL_EVERY or epoch is None or not self.membership.is_active():
             return
-        self._told_at = node.now
+        self._told_at = context.now
         self._read_mail(epoch.number)
         batches: dict[str, list[peers.EndedAttempt]] = {}
         for name in self._of_job:
-            job = self.picture.jobs.get(name)
+            job = self.cluster_state.jobs.get(name)
             home = None if job is None else self.membership.job_home(job.spec)
-            if home is None or home == node.name:
+            if home is None or home == context.name:
                 continue
             batch = batches.setdefault(home, [])
             for key, outcome in self._known_of(name):
-                if len(batch) >= peers.MOST_ENDED:
+                if len(batch) >= peers.MAX_ENDED_PER_MESSAGE:
                     break
                 last = self._told.get(key)
-                if last is None or node.now - last >= TELL_AGAIN:
+                if last is None or context.now - last >= TELL_AGAIN:
                     batch.append(peers.EndedAttempt(*key, outcome.done, outcome.note, outcome.failed))
-                    self._told[key] = node.now
+                    self._told[key] = context.now
         for home, batch in batches.items():
             if batch:
                 self._tell(home, epoch.number, batch)
@@ -186,7 +188,7 @@
         keys = [(ended.job, ended.number, ended.attempt) for ended in batch]
 
         def then(status: int, body: bytes) -> None:
-            now_epoch = self.picture.epoch
+            now_epoch = self.cluster_state.epoch
             if now_epoch is None or now_epoch.number != epoch:
                 return
             if status == 200:
@@ -194,33 +196,33 @@
             else:
                 self._with_home.difference_update(keys)
 
-        self.node.peer(home, peers.ENDED_PATH, wire.encode(peers.Ended(epoch, batch)), then)
+        self.context.call_peer(home, peers.ENDED_ATTEMPTS_PATH, wire.encode(peers.EndedAttempts(epoch, batch)), then)
 
-    def told(self, asked: Asked) -> None:
+    def handle_ended(self, request: IncomingRequest) -> None:
         """A sibling tells of ends on its machines. What it proves holds as long as nobody else has come to own them:
         so it counts under the epoch named, and the commit that rests on it is conditional on that epoch."""
-        message = self.node.read(asked, peers.Ended)
+        message = self.context.decode_request(request, peers.EndedAttempts)
         if message is None:
             return
-        epoch = self.picture.epoch
-        if epoch is None or epoch.number != message.epoch or not self.membership.entitled():
-            self.node.refuse(asked.number, 503, "another epoch", 1)
+        epoch = self.cluster_state.epoch
+        if epoch is None or epoch.number != message.epoch or not self.membership.is_active():
+            self.context.reply_error(request.request_id, 503, "another epoch", 1)
             return
         self._take_ended(message.attempts)
-        self.node.reply(asked.number, 200, b"{}")
+        self.context.reply(request.request_id, 200, b"{}")
 
     def _take_ended(self, attempts: list[peers.EndedAttempt]) -> None:
         for ended in attempts:
-            job = self.picture.jobs.get(ended.job)
+            job = self.cluster_state.jobs.get(ended.job)
             if job is not None and 0 <= ended.number < job.spec.tasks:
                 outcome = Outcome(ended.done, ended.note, ended.failed)
-                self.exit(ended.job, ended.number, ended.attempt, outcome)
+                self.record_exit(ended.job, ended.number, ended.attempt, outcome)
 
     def _read_mail(self, epoch: int) -> None:
         """Take in what siblings have written who can't reach everybody. Ends count as if they had been told."""
-        for sibling, mail in self.picture.mail.items():
-            version = self.picture.version(rec.mail_key(sibling))
-            if sibling == self.node.name or self._mail_read.get(sibling) == (version, epoch):
+        for sibling, mail in self.cluster_state.outboxes.items():
+            version = self.cluster_state.version(rec.outbox_key(sibling))
+            if sibling == self.context.name or self._mail_read.get(sibling) == (version, epoch):
                 continue
             self._mail_read[sibling] = (version, epoch)
             if mail.epoch == epoch:
@@ -228,55 +230,57 @@
                     [
                         ended
                         for ended in mail.ended
-                        if ended.job in self.picture.jobs
-                        and self.membership.job_home(self.picture.jobs[ended.job].spec) == self.node.name
+                        if ended.job in self.cluster_state.jobs
+                        and self.membership.job_home(self.cluster_state.jobs[ended.job].spec) == self.context.name
                     ]
                 )
             for heard in mail.heard:
-                self.picture.hear(heard.name, rec.MachineRecord(heard.type, heard.zone, heard.spot, heard.addr))
+                self.cluster_state.add_reported_machine(
+                    heard.name, rec.MachineRecord(heard.type, heard.zone, heard.spot, heard.addr)
+                )
 
-    def compose_mail(self, change: Change, puts: dict[str, rec.MachineRecord | None]) -> None:
+    def compose_mail(self, txn: TransactionBuilder, puts: dict[str, rec.MachineRecord | None]) -> None:
         """Write what siblings have long not been told, as much as fits a value."""
-        node, epoch = self.node, self.picture.epoch
-        if epoch is None or node.now - self._mailed_at < MAIL_EVERY or not change.room(1, 0):
+        context, epoch = self.context, self.cluster_state.epoch
+        if epoch is None or context.now - self._mailed_at < MAIL_EVERY or not txn.has_room(1, 0):
             return
         size = 100
         ended: list[peers.EndedAttempt] = []
-        heard: list[peers.HeardMachine] = []
+        heard: list[peers.ReportedMachine] = []
         others = [
             (key, outcome)
             for name in self._of_job
-            if (job := self.picture.jobs.get(name)) is not None and self.left_to_home(job)
+            if (job := self.cluster_state.jobs.get(name)) is not None and self.is_recorded_by_home(job)
             for key, outcome in self._known_of(name)
         ]
         for key, outcome in others:
-            if key in self._with_home or node.now - self.since[key] < TELL_IN_VAIN:
+            if key in self._with_home or context.now - self.recorded_at[key] < TELL_IN_VAIN:
                 continue
             each = peers.EndedAttempt(*key, outcome.done, outcome.note, outcome.failed)
             size += len(msgspec.json.encode(each)) + 1
-            if size > self.picture.value_bytes:
+            if size > self.cluster_state.max_value_bytes:
                 break
             ended.append(each)
-        for name in self.untold_machines:
-            record = self.picture.heard.get(name)
+        for name in self.unannounced_machines:
+            record = self.cluster_state.reported_machines.get(name)
             if record is not None:
-                known = peers.HeardMachine(name, record.type, record.zone, record.spot, record.addr)
+                known = peers.ReportedMachine(name, record.type, record.zone, record.spot, record.addr)
                 size += len(msgspec.json.encode(known)) + 1
-                if size > self.picture.value_bytes:
+                if size > self.cluster_state.max_value_bytes:
                     # No room in the mail: a record of its own tells of it.
                     puts.setdefault(name, record)
                 else:
                     heard.append(known)
-        before = self.picture.mail.get(node.name)
+        before = self.cluster_state.outboxes.get(context.name)
         if before is not None and (before.epoch == epoch.number or not ended):
             if set(ended) <= set(before.ended) and set(heard) <= set(before.heard):
                 return
         elif not ended and not heard:
             return
-        change.put(rec.mail_key(node.name), rec.MailRecord(epoch.number, ended, heard))
-        self._mailed_at = node.now
+        txn.put(rec.outbox_key(context.name), rec.OutboxRecord(epoch.number, ended, heard))
+        self._mailed_at = context.now
 
-    def left_to_home(self, job: Job) -> bool:
+    def is_recorded_by_home(self, job: Job) -> bool:
         """Whether a job's ends are its home's to note. If the home can't be told it learns of it by mail: when owners
         wrote such ends themselves, each cost a change, out of the small shares of those who place nothing."""
-        return self.membership.job_home(job.spec) != self.node.name
+        return self.membership.job_home(job.spec) != self.context.name
--- a/src/gladecroft/coordination/users/__init__.py
+++ b/src/gladecroft/coordination/users/__init__.py
@@ -1,5 +1,5 @@
 """Submissions, polls and cancellations."""
 
-from gladecroft.coordination.users.handler import Users
+from gladecroft.coordination.users.handler import UserRequestHandler
 
-__all__ = ["Users"]
+__all__ = ["UserRequestHandler"]
--- a/src/gladecroft/coordination/users/commit_queue.py
+++ b/src/gladecroft/coordination/users/commit_queue.py
@@ -9,10 +9,10 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.coordination.context import Node
-from gladecroft.coordination.events import Verb
+from gladecroft.coordination.context import ControllerContext
+from gladecroft.coordination.events import RequestKind
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.users.pending import Desk, Waiting
+from gladecroft.coordination.users.pending import PendingRequest, PendingRequests
 from gladecroft.protocol import wire
 
 log = logging.getLogger(__name__)
@@ -21,76 +21,76 @@
 WAVE = 4
 
 
-class Changes:
+class CommitQueue:
     """``route`` takes a request on again, ``read`` has its job read, ``tell_known`` answers it from the picture."""
 
     def __init__(
         self,
-        node: Node,
+        context: ControllerContext,
         membership: Membership,
-        desk: Desk,
-        route: Callable[[Waiting], None],
-        read: Callable[[Waiting], None],
-        tell_known: Callable[[Waiting], bool],
+        pending: PendingRequests,
+        route: Callable[[PendingRequest], None],
+        read: Callable[[PendingRequest], None],
+        tell_known: Callable[[PendingRequest], bool],
     ) -> None:
-        self.node = node
-        self.picture = node.picture
+        self.context = context
+        self.cluster_state = context.cluster_state
         self.membership = membership
-        self.desk = desk
+        self.pending = pending
         self._route = route
         self._read = read
         self._tell_known = tell_known
-        self._waiting: deque[Waiting] = deque()
+        self._waiting: deque[PendingRequest] = deque()
         self._changing = False
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def append(self, waiting: Waiting) -> None:
+    def append(self, waiting: PendingRequest) -> None:
         self._waiting.append(waiting)
 
     def flush(self) -> None:
         """Commit a batch of acceptances and cancellations."""
-        node = self.node
+        context = self.context
         # Single submissions are taken at once. A wave takes turns with placing: without that it kept all that was
         # accepted from being placed.
         wave = len(self._waiting) > WAVE
-        node.users_want = wave
+        context.users_need_writes = wave
         if self._changing or not self._waiting:
             return
-        few = node.writes.look(node.now) < min(WAVE, node.writes.burst)
-        if wave and (few or node.ledger_wants and node.ledgers_turn):
+        few = context.state_writes.available(context.now) < min(WAVE, context.state_writes.burst)
+        if wave and (few or context.state_writer_needs_writes and context.state_writer_first):
             return
-        ops_limit = min(node.cluster.state.txn_ops, max(1, int(node.writes.look(node.now))))
-        conditions = {rec.EPOCH: self.picture.version(rec.EPOCH)}
-        batch: dict[str, tuple[rec.JobRecord, list[Waiting]]] = {}
+        ops_limit = min(context.cluster.state.txn_ops, max(1, int(context.state_writes.available(context.now))))
+        conditions = {rec.EPOCH: self.cluster_state.version(rec.EPOCH)}
+        batch: dict[str, tuple[rec.JobRecord, list[PendingRequest]]] = {}
         ops: list[wire.Put] = []
         size = 300
-        while self._waiting and len(ops) < ops_limit and len(conditions) + 2 <= 4 * node.cluster.state.txn_ops:
+        while self._waiting and len(ops) < ops_limit and len(conditions) + 2 <= 4 * context.cluster.state.txn_ops:
             waiting = self._waiting[0]
-            name = waiting.asked.job
-            job = self.picture.jobs.get(name)
-            if not self.desk.alive(waiting):
+            name = waiting.request.job
+            job = self.cluster_state.jobs.get(name)
+            if not self.pending.is_open(waiting):
                 self._waiting.popleft()
                 continue
             if name in batch:
-                if waiting.asked.verb is not Verb.SUBMIT or batch[name][0].cancelled:
+                if waiting.request.kind is not RequestKind.SUBMIT or batch[name][0].cancelled:
                     break
                 self._waiting.popleft()
                 batch[name][1].append(waiting)
                 continue
-            if waiting.asked.verb is Verb.SUBMIT:
-                if job is not None or name in self.picture.finals:
+            if waiting.request.kind is RequestKind.SUBMIT:
+                if job is not None or name in self.cluster_state.final_records:
                     self._waiting.popleft()
                     self._route(waiting) if job is not None else self._tell_known(waiting)
                     continue
                 assert waiting.spec is not None
-                record = rec.JobRecord(waiting.spec, int(node.wall.timestamp() * 1000))
+                record = rec.JobRecord(waiting.spec, int(context.wall_time.timestamp() * 1000))
                 versions = {rec.job_key(name): 0, rec.final_key(name): 0}
             else:
                 if job is None or job.cancelled:
                     self._waiting.popleft()
-                    self._route(waiting) if name not in self.picture.finals else self._tell_known(waiting)
+                    self._route(waiting) if name not in self.cluster_state.final_records else self._tell_known(waiting)
                     continue
                 record = rec.JobRecord(job.spec, job.record.accepted_ms, True)
                 versions = {rec.job_key(name): job.version}
@@ -108,15 +108,15 @@
 
         def put_back() -> None:
             for _, group in reversed(list(batch.values())):
-                self._waiting.extendleft(reversed([waiting for waiting in group if self.desk.alive(waiting)]))
+                self._waiting.extendleft(reversed([waiting for waiting in group if self.pending.is_open(waiting)]))
 
         def then(status: int, body: bytes) -> None:
             self._changing = False
-            node.spend("accepted or cancelled" if status == 200 else f"refused ({status})", len(ops))
+            context.count_writes("accepted or cancelled" if status == 200 else f"refused ({status})", len(ops))
             if status == 200:
                 revision = wire.decode(wire.TxnReply, body).revision
                 for op in ops:
-                    self.picture.apply(op.key, op.value, revision)
+                    self.cluster_state.apply(op.key, op.value, revision)
                 for name, (record, group) in batch.items():
                     self._committed(name, record, group)
             elif status == 409:
@@ -136,14 +136,14 @@
                     for waiting in group:
                         self._read(waiting)
 
-        if node.state("POST", wire.COMMIT_PATH, body, then, writes=len(ops)):
+        if context.call_state("POST", wire.COMMIT_PATH, body, then, writes=len(ops)):
             self._changing = True
-            node.ledgers_turn = True
+            context.state_writer_first = True
         else:
             put_back()
 
-    def _committed(self, name: str, record: rec.JobRecord, group: list[Waiting]) -> None:
-        job = self.picture.jobs.get(name)
+    def _committed(self, name: str, record: rec.JobRecord, group: list[PendingRequest]) -> None:
+        job = self.cluster_state.jobs.get(name)
         if record.cancelled:
             log.info("job %s: cancelled by its user", name)
         else:
@@ -152,6 +152,8 @@
                      spec.job_class, spec.team, spec.cpus, spec.estimate_s)  # fmt: skip
         for index, waiting in enumerate(group):
             if job is not None:
-                self.desk.tell(waiting, job, 201 if index == 0 and waiting.asked.verb is Verb.SUBMIT else 200)
+                self.pending.tell(
+                    waiting, job, 201 if index == 0 and waiting.request.kind is RequestKind.SUBMIT else 200
+                )
             else:
                 self._tell_known(waiting)
--- a/src/gladecroft/coordination/users/lookups.py
+++ b/src/gladecroft/coordination/users/lookups.py
@@ -14,8 +14,8 @@
 from datetime import timedelta
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.coordination.context import RETRY, Node
-from gladecroft.coordination.users.pending import Desk, Waiting
+from gladecroft.coordination.context import RETRY_DELAY, ControllerContext
+from gladecroft.coordination.users.pending import PendingRequest, PendingRequests
 from gladecroft.protocol import wire
 
 READS_AT_ONCE = 16
@@ -27,13 +27,15 @@
 class Lookups:
     """``found`` is told of each request that waited for a job's records, and whether the store has the job."""
 
-    def __init__(self, node: Node, desk: Desk, found: Callable[[Waiting, bool], None]) -> None:
-        self.node = node
-        self.picture = node.picture
-        self.desk = desk
+    def __init__(
+        self, context: ControllerContext, pending: PendingRequests, found: Callable[[PendingRequest, bool], None]
+    ) -> None:
+        self.context = context
+        self.cluster_state = context.cluster_state
+        self.pending = pending
         self._found = found
         #: Who waits, by job; the jobs asked longest ago first.
-        self._waiting: dict[str, list[Waiting]] = {}
+        self._waiting: dict[str, list[PendingRequest]] = {}
         #: Jobs that there are, to be read; those that are asked about right now.
         self._to_read: dict[str, str] = {}
         self._asking: set[str] = set()
@@ -45,15 +47,15 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def read(self, waiting: Waiting, there: bool = False) -> None:
+    def look_up(self, request: PendingRequest, exists: bool = False) -> None:
         """Have a request's job looked up; ``flush``, which ends every step, asks for many at once. ``there``: it is
         known that there is such a job, so it is read without asking for that first."""
-        self._waiting.setdefault(waiting.asked.job, []).append(waiting)
-        if there:
-            self._to_read.setdefault(waiting.asked.job, rec.job_key(waiting.asked.job))
+        self._waiting.setdefault(request.request.job, []).append(request)
+        if exists:
+            self._to_read.setdefault(request.request.job, rec.job_key(request.request.job))
 
     def flush(self) -> None:
-        if not self._waiting or self.node.now < self._not_before:
+        if not self._waiting or self.context.now < self._not_before:
             return
         for name in [name for name in self._waiting if name not in self._asking and not self._wanted(name)]:
             # Nobody waits any more. Kept, each would be asked for again and again, and sixteen such kept all others
@@ -65,31 +67,31 @@
         for name in list(self._to_read):
             if self._reading >= READS_AT_ONCE or not self._read(name, self._to_read[name]):
                 break
-        pause = self.node.apart(CHECKS, CHECK_EVERY)
-        if not self._checking and self.node.now - self._checked_at >= pause:
+        pause = self.context.min_interval(CHECKS, CHECK_EVERY)
+        if not self._checking and self.context.now - self._checked_at >= pause:
             self._check()
 
     def _wanted(self, name: str) -> bool:
-        return any(self.desk.alive(waiting) for waiting in self._waiting[name])
+        return any(self.pending.is_open(waiting) for waiting in self._waiting[name])
 
-    def _ask(self, name: str) -> list[Waiting]:
+    def _ask(self, name: str) -> list[PendingRequest]:
         """Those whom the request about a job that is being sent answers: all who have asked so far."""
         self._asking.add(name)
         return self._waiting.pop(name)
 
-    def _put_back(self, groups: dict[str, list[Waiting]]) -> None:
+    def _put_back(self, groups: dict[str, list[PendingRequest]]) -> None:
         """The request told them nothing: they wait on, before those who have come since."""
         if groups:
             back = {name: group + self._waiting.pop(name, []) for name, group in groups.items()}
             self._waiting = {**back, **self._waiting}
 
-    def _finish(self, group: list[Waiting], known: bool) -> None:
+    def _finish(self, group: list[PendingRequest], known: bool) -> None:
         for waiting in group:
-            if self.desk.alive(waiting):
+            if self.pending.is_open(waiting):
                 self._found(waiting, known)
 
     def _again(self) -> None:
-        self._not_before = self.node.now + RETRY
+        self._not_before = self.context.now + RETRY_DELAY
 
     def _check(self) -> None:
         """Compare: neither a live record nor a final one, for as many jobs as one transaction can hold.
@@ -97,7 +99,7 @@
         A job goes from the first to the second in one transaction, so both are absent at once only if there is no such
         job.
         """
-        most = max(1, 2 * self.node.cluster.state.txn_ops)
+        most = max(1, 2 * self.context.cluster.state.txn_ops)
         batch = [name for name in self._waiting if name not in self._asking and name not in self._to_read][:most]
         if not batch:
             return
@@ -116,40 +118,40 @@
                 if keys:
                     self._to_read[name] = keys[0]
                 else:
-                    self.picture.apply(rec.job_key(name), None, reply.revision)
+                    self.cluster_state.apply(rec.job_key(name), None, reply.revision)
                     self._finish(groups.pop(name), False)
             self._put_back(groups)
 
-        groups: dict[str, list[Waiting]] = {}
+        groups: dict[str, list[PendingRequest]] = {}
         conditions = [wire.Condition(key, 0) for name in batch for key in (rec.job_key(name), rec.final_key(name))]
-        if self.node.state("POST", wire.COMMIT_PATH, wire.encode(wire.Txn(conditions)), then):
-            self._checking, self._checked_at = True, self.node.now
+        if self.context.call_state("POST", wire.COMMIT_PATH, wire.encode(wire.Txn(conditions)), then):
+            self._checking, self._checked_at = True, self.context.now
             groups = {name: self._ask(name) for name in batch}
 
     def _read(self, name: str, key: str) -> bool:
         """Read a record that there is. A live one that is gone has just become a final one."""
-        group: list[Waiting] = []
+        group: list[PendingRequest] = []
 
         def then(status: int, body: bytes) -> None:
             self._reading -= 1
             self._asking.discard(name)
             if status == 200:
-                item: wire.Item = wire.decode(wire.Item, body)
+                item: wire.KeyValue = wire.decode(wire.KeyValue, body)
                 if key == rec.final_key(name):
-                    self.picture.note_final(name, wire.decode(rec.FinalRecord, bytes(item.value)))
+                    self.cluster_state.add_final(name, wire.decode(rec.FinalRecord, bytes(item.value)))
                     group.extend(self._waiting.pop(name, ()))
                 else:
-                    self.picture.apply(item.key, item.value, item.version)
+                    self.cluster_state.apply(item.key, item.value, item.version)
                 self._finish(group, True)
                 return
             self._put_back({name: group})
             if status == 404 and key != rec.final_key(name):
-                self.picture.apply(key, None, wire.decode(wire.Missing, body).revision)
+                self.cluster_state.apply(key, None, wire.decode(wire.KeyNotFound, body).revision)
                 self._to_read[name] = rec.final_key(name)
             else:
                 self._again()  # asked about anew
 
-        if not self.node.state("GET", wire.key_path(key), None, then):
+        if not self.context.call_state("GET", wire.key_path(key), None, then):
             return False
         del self._to_read[name]
         group = self._ask(name)
--- a/src/gladecroft/coordination/users/pending.py
+++ b/src/gladecroft/coordination/users/pending.py
@@ -10,16 +10,16 @@
 
 from gladecroft.bookkeeping import records as rec
 from gladecroft.bookkeeping.job import Job
-from gladecroft.coordination.context import Node
-from gladecroft.coordination.events import Asked, Verb
+from gladecroft.coordination.context import ControllerContext
+from gladecroft.coordination.events import IncomingRequest, RequestKind
 from gladecroft.protocol import wire
-from gladecroft.protocol.wire import JobSpec, JobStatus, Status
+from gladecroft.protocol.wire import JobSpec, JobState, JobStatus
 
 log = logging.getLogger(__name__)
 
 
-class Waiting(msgspec.Struct, eq=False):
-    asked: Asked
+class PendingRequest(msgspec.Struct, eq=False):
+    request: IncomingRequest
     since: timedelta
     #: A submission's job, or what is malformed in it.
     spec: JobSpec | None = None
@@ -27,44 +27,44 @@
     tries: int = 0
 
 
-class Desk:
-    def __init__(self, node: Node) -> None:
-        self.node = node
-        self.open: dict[int, Waiting] = {}
+class PendingRequests:
+    def __init__(self, context: ControllerContext) -> None:
+        self.context = context
+        self.open: dict[int, PendingRequest] = {}
         #: Why a job waits, in words.
-        self.reason: Callable[[Job], str] = lambda job: ""
+        self.wait_reason: Callable[[Job], str] = lambda job: ""
 
-    def close(self, waiting: Waiting) -> bool:
-        return self.open.pop(waiting.asked.number, None) is not None
+    def close(self, waiting: PendingRequest) -> bool:
+        return self.open.pop(waiting.request.request_id, None) is not None
 
-    def refuse(self, waiting: Waiting, status: int, why: str, retry_after: int | None = None) -> None:
+    def refuse(self, waiting: PendingRequest, status: int, why: str, retry_after: int | None = None) -> None:
         if self.close(waiting):
-            log.info("%s %s refused with %d: %s", waiting.asked.verb.value, waiting.asked.job, status, why)
-            self.node.refuse(waiting.asked.number, status, why, retry_after)
+            log.info("%s %s refused with %d: %s", waiting.request.kind.value, waiting.request.job, status, why)
+            self.context.reply_error(waiting.request.request_id, status, why, retry_after)
 
-    def tell_final(self, waiting: Waiting, final: rec.FinalRecord) -> None:
-        self.open.pop(waiting.asked.number, None)
-        state = Status.DONE if final.done else Status.CANCELLED
-        answer = JobStatus(waiting.asked.job, state)
-        if waiting.asked.verb is Verb.POLL:
+    def tell_final(self, waiting: PendingRequest, final: rec.FinalRecord) -> None:
+        self.open.pop(waiting.request.request_id, None)
+        state = JobState.DONE if final.done else JobState.CANCELLED
+        answer = JobStatus(waiting.request.job, state)
+        if waiting.request.kind is RequestKind.POLL:
             answer.done, answer.running = final.tasks, 0
             if final.reason:
                 answer.reason = final.reason
-        self.node.reply(waiting.asked.number, 200, wire.encode(answer))
+        self.context.reply(waiting.request.request_id, 200, wire.encode(answer))
 
-    def tell(self, waiting: Waiting, job: Job, status: int = 200) -> None:
+    def tell(self, waiting: PendingRequest, job: Job, status: int = 200) -> None:
         if not self.close(waiting):
             return
         if job.cancelled:
-            answer = JobStatus(job.id, Status.CANCELLED)
+            answer = JobStatus(job.id, JobState.CANCELLED)
         else:
-            answer = JobStatus(job.id, Status.RUNNING if job.occupied or job.done else Status.QUEUED)
-        if waiting.asked.verb is Verb.POLL:
-            answer.done, answer.running = job.done, job.occupied
-            reason = self.reason(job)
+            answer = JobStatus(job.id, JobState.RUNNING if job.placed_count or job.done_count else JobState.QUEUED)
+        if waiting.request.kind is RequestKind.POLL:
+            answer.done, answer.running = job.done_count, job.placed_count
+            reason = self.wait_reason(job)
             if reason:
                 answer.reason = reason
-        self.node.reply(waiting.asked.number, status, wire.encode(answer))
+        self.context.reply(waiting.request.request_id, status, wire.encode(answer))
 
-    def alive(self, waiting: Waiting) -> bool:
-        return waiting.asked.number in self.open
+    def is_open(self, waiting: PendingRequest) -> bool:
+        return waiting.request.request_id in self.open
--- a/src/gladecroft/lab/commands.py
+++ b/src/gladecroft/lab/commands.py
@@ -15,7 +15,7 @@
 
 from gladecroft.lab.loopback import Lab, LabError
 from gladecroft.lab.scenario import Scenario, ScenarioError
-from gladecroft.protocol.settings import Operator, SettingsError, load_operator
+from gladecroft.protocol.settings import OperatorSettings, SettingsError, load_operator
 from gladecroft.toolbox.controller_client import BAD_INPUT, fail
 
 BROKEN = 1
@@ -137,14 +137,14 @@
 
 async def _run(
     made: Lab,
-    operator: Operator,
+    operator_settings: OperatorSettings,
     length: float | None,
     kill_every: float | None,
     away: tuple[float, float] | None,
     show: Any,
 ) -> None:
     async with anyio.create_task_group() as group:
-        await made.start(group, operator)
+        await made.start(group, operator_settings)
         began = time.monotonic()
         jobs = kills = shown = 0
         if away is not None:
@@ -156,7 +156,7 @@
                 made.submit()
                 jobs += 1
             if kill_every is not None and now >= (kills + 1) * kill_every:
-                await made.kill_one(operator, DOWN)
+                await made.kill_one(operator_settings, DOWN)
                 kills += 1
             if now >= shown:
                 show.show(made.snapshot())
--- a/src/gladecroft/lab/fault_injection.py
+++ b/src/gladecroft/lab/fault_injection.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from gladecroft.coordination.events import Verb
+from gladecroft.coordination.events import RequestKind
 from gladecroft.lab.cloud import Cloud
 from gladecroft.lab.oracle import Oracle
 from gladecroft.lab.simulation import Controller, World, seconds
@@ -78,7 +78,7 @@
     @staticmethod
     def _deliver(to: Controller, body: bytes) -> None:
         if to.alive:
-            to.ask(Verb.REPORT, body, "", lambda got: None)
+            to.ask(RequestKind.REPORT, body, "", lambda got: None)
 
     # Cancellations -------------------------------------------------------------------------------------------
 
@@ -119,7 +119,7 @@
         milliseconds, repeats the submission, and some cancel at once."""
         seen: set[tuple[str, str]] = set()
 
-        def answered(job: str, verb: Verb, state: str) -> None:
+        def answered(job: str, verb: RequestKind, state: str) -> None:
             user = self.users.get(job)
             word = state if state in ("done", "aborted") else "accepted"
             if user is None or self.world.elapsed() >= until or (job, word) in seen:
@@ -127,7 +127,7 @@
             seen.add((job, word))
             for controller in self.controllers:
                 for late in CLOSE_MS:
-                    verb = Verb.SUBMIT if self.world.random.random() < 0.2 else Verb.POLL
+                    verb = RequestKind.SUBMIT if self.world.random.random() < 0.2 else RequestKind.POLL
                     ask = self._look(user, verb, controller)
                     self.world.later(seconds(late * self.world.random.uniform(0.2, 1.0) / 1000), ask)
             if word == "accepted" and self.world.random.random() < cancels:
@@ -136,7 +136,7 @@
         self.oracle.on_answer.append(answered)
 
     @staticmethod
-    def _look(user: User, verb: Verb, to: Controller) -> Callable[[], None]:
+    def _look(user: User, verb: RequestKind, to: Controller) -> Callable[[], None]:
         return lambda: user.look(verb, to) if to.alive else None
 
     def odd_requests(self, until: float) -> None:
@@ -150,7 +150,10 @@
             user = self.users[random.choice(accepted)]
             final = self.oracle.final.get(user.id)
             # Called done, a job stays done, whoever wants to cancel it.
-            user.look(Verb.CANCEL if final is not None and final[0] == "done" else Verb.SUBMIT, random.choice(live))
+            user.look(
+                RequestKind.CANCEL if final is not None and final[0] == "done" else RequestKind.SUBMIT,
+                random.choice(live),
+            )
         if live:
             self._odd += 1
             name = f"wk-{900_000 + self._odd}"
@@ -160,5 +163,5 @@
             spec = {key: value for key, value in spec.items() if value is not None or key not in change}
             self.oracle.impossible.add(name)
             user = User(self.world, self.controllers, self.oracle, spec)
-            user.look(Verb.SUBMIT, random.choice(live))
+            user.look(RequestKind.SUBMIT, random.choice(live))
         self.world.later(seconds(random.uniform(0.5, 1.5) * ODD_EVERY_S), lambda: self.odd_requests(until))
--- a/src/gladecroft/lab/growth.py
+++ b/src/gladecroft/lab/growth.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from gladecroft.coordination.events import Asked, Event, Verb
+from gladecroft.coordination.events import Event, IncomingRequest, RequestKind
 from gladecroft.lab.scenario import Scenario
 from gladecroft.lab.simulation import Controller, Replier, seconds
 
@@ -64,8 +64,8 @@
 def watch_controller(controller: Controller, costs: Costs) -> None:
     core = controller.core
     assert core is not None
-    take, step = core._take, core.step
-    names = {Verb.REPORT: "report", Verb.SUBMIT: "submit", Verb.POLL: "poll"}
+    take, step = core._handle_event, core.step
+    names = {RequestKind.REPORT: "report", RequestKind.SUBMIT: "submit", RequestKind.POLL: "poll"}
     current = ["tick"]
 
     def profile(frame: FrameType, event: str, arg: Any) -> None:
@@ -74,7 +74,7 @@
             costs.calls[frame.f_code.co_qualname] += 1
 
     def taken(event: Event) -> None:
-        what = names.get(event.verb, "asked") if isinstance(event, Asked) else type(event).__name__
+        what = names.get(event.kind, "asked") if isinstance(event, IncomingRequest) else type(event).__name__
         costs.units[what] += costs.on
         current[0] = what
         try:
@@ -91,7 +91,7 @@
         finally:
             sys.setprofile(None)
 
-    core._take, core.step = taken, stepped  # type: ignore[method-assign]
+    core._handle_event, core.step = taken, stepped  # type: ignore[method-assign]
 
 
 def measure(machines: int) -> Costs:
@@ -183,7 +183,7 @@
         scenario.world.run_until(seconds(scenario.world.elapsed() + 0.05))
         for controller in scenario.controllers:
             if controller.core is not None:
-                answered |= {each.id for each in controller.core.keeper.machines.values() if each.answered_at}
+                answered |= {each.id for each in controller.core.machine_manager.machines.values() if each.answered_at}
         if answered and "s to the first answer" not in rows:
             rows["s to the first answer"] = scenario.world.elapsed() - began
         assert scenario.world.elapsed() < began + 60
--- a/src/gladecroft/lab/loopback.py
+++ b/src/gladecroft/lab/loopback.py
@@ -14,7 +14,7 @@
 import anyio.abc
 import msgspec
 
-from gladecroft.coordination.events import Reply, Verb
+from gladecroft.coordination.events import Reply, RequestKind
 from gladecroft.lab.cloud import Cloud
 from gladecroft.lab.oracle import Oracle
 from gladecroft.lab.simulation import Replier, World, seconds
@@ -22,7 +22,7 @@
 from gladecroft.lab.user import User
 from gladecroft.lab.worker import Kind, Worker
 from gladecroft.protocol import wire
-from gladecroft.protocol.settings import Operator, Platform
+from gladecroft.protocol.settings import OperatorSettings, PlatformSettings
 from gladecroft.service import Service
 from gladecroft.transport.client import Client
 from gladecroft.transport.server import Handler, Request, Response, Server
@@ -73,7 +73,7 @@
 class Door:
     """A controller's address, through which users and workers ask; and the controller, while it lives."""
 
-    def __init__(self, name: str, platform: Platform, client: Client, group: anyio.abc.TaskGroup) -> None:
+    def __init__(self, name: str, platform: PlatformSettings, client: Client, group: anyio.abc.TaskGroup) -> None:
         self.name = name
         self.platform = platform
         self.alive = False
@@ -85,10 +85,10 @@
         host, _, port = platform.listen.rpartition(":")
         self._addr = (host, int(port))
 
-    async def run(self, operator: Operator) -> None:
+    async def run(self, operator_settings: OperatorSettings) -> None:
         """Serve until ``kill``. ``LabError`` if its port is in use."""
         self.lives += 1
-        self.service = Service(self.platform, operator)
+        self.service = Service(self.platform, operator_settings)
 
         def started() -> None:
             self.alive = True
@@ -109,12 +109,12 @@
         if self._scope is not None:
             self._scope.cancel()
 
-    def ask(self, verb: Verb, body: bytes, job: str, then: Callable[[Reply], None]) -> None:
+    def ask(self, verb: RequestKind, body: bytes, job: str, then: Callable[[Reply], None]) -> None:
         method, path = {
-            Verb.REPORT: ("POST", wire.REPORT_PATH),
-            Verb.SUBMIT: ("POST", wire.SUBMIT_PATH),
-            Verb.POLL: ("GET", f"{wire.SUBMIT_PATH}/{job}"),
-            Verb.CANCEL: ("POST", f"{wire.SUBMIT_PATH}/{job}/{wire.CANCEL_END}"),
+            RequestKind.REPORT: ("POST", wire.REPORT_PATH),
+            RequestKind.SUBMIT: ("POST", wire.SUBMIT_PATH),
+            RequestKind.POLL: ("GET", f"{wire.SUBMIT_PATH}/{job}"),
+            RequestKind.CANCEL: ("POST", f"{wire.SUBMIT_PATH}/{job}/{wire.CANCEL_SUFFIX}"),
         }[verb]
 
         async def carry() -> None:
@@ -151,7 +151,7 @@
 
     # Sockets -------------------------------------------------------------------------------------------------
 
-    async def start(self, group: anyio.abc.TaskGroup, operator: Operator) -> None:
+    async def start(self, group: anyio.abc.TaskGroup, operator_settings: OperatorSettings) -> None:
         """Bring all up. ``LabError`` if a port is in use."""
         self._group = group
         group.start_soon(self._drive)
@@ -180,11 +180,11 @@
                 "outside": {"cloud": f"{HOST}:{cloud}", "state": f"{HOST}:{state}"},
                 "settings": {"zones": ["a", "b"], "teams": TEAMS, "workers": WORKERS, "state": STATE, "cloud": CLOUD},
             }
-            self.doors.append(Door(name, msgspec.convert(table, Platform), self._client, group))
+            self.doors.append(Door(name, msgspec.convert(table, PlatformSettings), self._client, group))
         for zone in "ab":
             self.cloud.rent("g16", zone, False, boot=timedelta())
         for door in self.doors:
-            group.start_soon(door.run, operator)
+            group.start_soon(door.run, operator_settings)
 
     async def _listen(self, serve: Callable[[Request, Replier], None]) -> int:
         port: int = await self._group.start(Server(_answered(serve), 200, 1 << 20).serve, HOST, 0)
@@ -242,7 +242,7 @@
             # So that services come and go, and the fleet with them.
             self.world.later(seconds(40 / self.speed), user.cancel)
 
-    async def kill_one(self, operator: Operator, down: timedelta) -> str:
+    async def kill_one(self, operator_settings: OperatorSettings, down: timedelta) -> str:
         """End one controller that lives, and start it again after a while; its name, or "" if none lives."""
         live = [door for door in self.doors if door.alive]
         if not live:
@@ -253,7 +253,7 @@
 
         async def back() -> None:
             await anyio.sleep(down.total_seconds())
-            await door.run(operator)
+            await door.run(operator_settings)
 
         self._group.start_soon(back)
         return door.name
--- a/src/gladecroft/lab/oracle.py
+++ b/src/gladecroft/lab/oracle.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from gladecroft.coordination.events import Verb
+from gladecroft.coordination.events import RequestKind
 
 Json = dict[str, Any]
 Key = tuple[str, int]
@@ -43,7 +43,7 @@
         self.impossible: set[str] = set()
         self.on_done: list[Callable[[str], None]] = []
         #: Called with each good answer about a job: its verb and the state it told.
-        self.on_answer: list[Callable[[str, Verb, str], None]] = []
+        self.on_answer: list[Callable[[str, RequestKind, str], None]] = []
         #: Which waiting jobs a machine has room for, and since when.
         self.waiting_with_room: Callable[[], set[str]] = set
         self._waits_since: dict[str, float] = {}
@@ -177,7 +177,7 @@
         if job in self.accepted:
             self.silent_since.setdefault(job, self.now())
 
-    def answered(self, job: str, verb: Verb, status: int, body: bytes, sent: float | None = None) -> None:
+    def answered(self, job: str, verb: RequestKind, status: int, body: bytes, sent: float | None = None) -> None:
         """An answer has arrived. ``sent``: when its question left (None: after all that has been told). It may be older
         than another one only if its question had left before that arrived."""
         now = self.now()
--- a/src/gladecroft/lab/scenario.py
+++ b/src/gladecroft/lab/scenario.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from gladecroft.coordination.events import Verb
+from gladecroft.coordination.events import RequestKind
 from gladecroft.lab.cloud import Cloud
 from gladecroft.lab.fault_injection import Troubles
 from gladecroft.lab.oracle import Oracle
@@ -21,7 +21,7 @@
 from gladecroft.lab.user import User
 from gladecroft.lab.worker import Kind, Worker
 from gladecroft.protocol import operators
-from gladecroft.protocol.settings import Operator, Platform
+from gladecroft.protocol.settings import OperatorSettings, PlatformSettings
 
 Json = dict[str, Any]
 Words = dict[str, str]
@@ -102,7 +102,7 @@
         self.jobs: dict[str, Json] = {}
         self.users: dict[str, User] = {}
         self.limits: dict[str, float] = {}
-        self.operator = Operator()
+        self.operator_settings = OperatorSettings()
         self._teams: list[Json] = []
         self._kinds: dict[str, Kind] = {}
         self._capacity: dict[tuple[str, str, bool], int] = {}
@@ -164,7 +164,7 @@
             self._memory_mb = float(plain[1])
         elif plain[0] == "set":
             table = {key: value for key, value in named.items()}
-            self.operator = msgspec.convert(table, Operator, strict=False)
+            self.operator_settings = msgspec.convert(table, OperatorSettings, strict=False)
         else:
             self._state.update({key: msgspec.json.decode(value) for key, value in named.items()})
 
@@ -189,7 +189,7 @@
                     "resources": {"ram_mb": self._memory_mb},
                 },
             }
-            controller = Controller(world, msgspec.convert(table, Platform), self.operator)
+            controller = Controller(world, msgspec.convert(table, PlatformSettings), self.operator_settings)
             controller.state, controller.cloud, controller.workers = self.state, self.cloud, workers
             self.controllers.append(controller)
             world.at(seconds(0.1 * len(self.controllers)), controller.start)
@@ -414,11 +414,16 @@
             self.world.later(span, lambda: setattr(self.cloud, "never_boot", 0.0))
         elif verb == "cordon":
             until = int((START + self.world.now + span).timestamp()) if span else 0
-            order = operators.CordonOrder(
-                operators.Scope(plain[1]), plain[2], named.get("why", ""), "", until, named.get("lift") == "yes"
+            order = operators.CordonRequest(
+                operators.CordonScope(plain[1]), plain[2], named.get("why", ""), "", until, named.get("lift") == "yes"
             )
             asked = self._controller(named.get("node", "n0"))
-            asked.ask(Verb.CORDON, msgspec.json.encode(order), "", lambda reply: self.orders.append(reply.status))
+            asked.ask(
+                RequestKind.CHANGE_CORDON,
+                msgspec.json.encode(order),
+                "",
+                lambda reply: self.orders.append(reply.status),
+            )
         elif verb == "ask":
             for name in _names(plain[1], named):
                 User(self.world, self.controllers, self.oracle, {"nameId": name}).poll()
--- a/src/gladecroft/lab/simulation.py
+++ b/src/gladecroft/lab/simulation.py
@@ -12,9 +12,20 @@
 import msgspec
 
 from gladecroft.coordination.core import Core
-from gladecroft.coordination.events import Answered, Asked, Call, Clock, Event, Reply, Target, Verb, Watch, Watched
+from gladecroft.coordination.events import (
+    CallResult,
+    ClockReading,
+    Event,
+    IncomingRequest,
+    OutgoingCall,
+    Reply,
+    RequestKind,
+    StartWatch,
+    Target,
+    WatchResult,
+)
 from gladecroft.protocol import wire
-from gladecroft.protocol.settings import Operator, Platform
+from gladecroft.protocol.settings import OperatorSettings, PlatformSettings
 from gladecroft.service import SIBLINGS_ASK
 
 START = datetime(2026, 1, 1, tzinfo=UTC)
@@ -85,10 +96,10 @@
 class Controller:
     """One controller: a core, its calls and their time-outs. Dead between a crash and its restart."""
 
-    def __init__(self, world: World, platform: Platform, operator: Operator) -> None:
+    def __init__(self, world: World, platform: PlatformSettings, operator_settings: OperatorSettings) -> None:
         self.world = world
         self.platform = platform
-        self.operator = operator
+        self.operator_settings = operator_settings
         self.name = platform.name
         self.state: StateLike | None = None
         self.cloud: CloudLike | None = None
@@ -109,7 +120,7 @@
 
     def start(self) -> None:
         self.life += 1
-        self.core = Core(self.platform, self.operator)
+        self.core = Core(self.platform, self.operator_settings)
         self._waiting.clear()
         self._events.clear()
         self._stepping = False
@@ -138,12 +149,12 @@
             self._schedule()
             self.world.later(TICK, lambda: self._tick(life))
 
-    def ask(self, verb: Verb, body: bytes, job: str, then: Callable[[Reply], None]) -> None:
+    def ask(self, verb: RequestKind, body: bytes, job: str, then: Callable[[Reply], None]) -> None:
         if self.core is None:
             return
         self._numbers += 1
         self._waiting[self._numbers] = then
-        self._put(self.life, Asked(self._numbers, verb, body, job))
+        self._put(self.life, IncomingRequest(self._numbers, verb, body, job))
 
     def _put(self, life: int, event: Event) -> None:
         if life == self.life and self.core is not None:
@@ -162,27 +173,27 @@
         self._stepping = False
         events, self._events = self._events, []
         steady = self.world.now * self.drift
-        clock = Clock(steady, START + self.world.now)
+        clock = ClockReading(steady, START + self.world.now)
         for effect in self.core.step(clock, events):
             if isinstance(effect, Reply):
-                then = self._waiting.pop(effect.number, None)
+                then = self._waiting.pop(effect.request_id, None)
                 if then is not None:
                     then(effect)
-            elif isinstance(effect, Watch):
+            elif isinstance(effect, StartWatch):
                 self._watch(effect)
             else:
                 self._call(effect)
 
-    def _call(self, call: Call) -> None:
+    def _call(self, call: OutgoingCall) -> None:
         life = self.life
         open_calls = {"open": True}
 
         def answer(status: int, body: bytes) -> None:
             if open_calls["open"]:
                 open_calls["open"] = False
-                self._put(life, Answered(call.number, status, body))
+                self._put(life, CallResult(call.call_id, status, body))
 
-        self.world.later(call.limit, lambda: answer(0, b""))
+        self.world.later(call.timeout, lambda: answer(0, b""))
         assert self.state is not None and self.cloud is not None
         if call.target is Target.PEER:
             peer = self.peers[call.addr]
@@ -210,17 +221,17 @@
 
         self.world.send(self.name, target, lambda: run(self.name, call.method, call.path, call.body or b"", reply))
 
-    def _watch(self, watch: Watch) -> None:
+    def _watch(self, watch: StartWatch) -> None:
         life = self.life
         state = self.state
         assert state is not None
 
         def answer(status: int, body: bytes) -> None:
-            event = Watched(failed=True)
+            event = WatchResult(failed=True)
             if status == 200:
-                event = Watched(wire.decode(wire.WatchReply, body))
+                event = WatchResult(wire.decode(wire.WatchReply, body))
             elif status == 410:
-                event = Watched(gap=True)
+                event = WatchResult(gap=True)
             self._put(life, event)
 
         done = {"open": True}
@@ -249,7 +260,7 @@
     @property
     def alive(self) -> bool: ...
 
-    def ask(self, verb: Verb, body: bytes, job: str, then: Callable[[Reply], None]) -> None: ...
+    def ask(self, verb: RequestKind, body: bytes, job: str, then: Callable[[Reply], None]) -> None: ...
 
 
 class StateLike:
--- a/src/gladecroft/lab/user.py
+++ b/src/gladecroft/lab/user.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from gladecroft.coordination.events import Reply, Verb
+from gladecroft.coordination.events import Reply, RequestKind
 from gladecroft.lab.oracle import Oracle
 from gladecroft.lab.simulation import Front, World, raw, seconds
 
@@ -29,7 +29,12 @@
         self.cancelling = False
 
     def _ask(
-        self, verb: Verb, body: bytes, limit: float, then: Callable[[Reply | None], None], to: Front | None = None
+        self,
+        verb: RequestKind,
+        body: bytes,
+        limit: float,
+        then: Callable[[Reply | None], None],
+        to: Front | None = None,
     ) -> None:
         """Ask one of the controllers that are up, or the one named."""
         live = [controller for controller in self.controllers if controller.alive]
@@ -70,16 +75,16 @@
                 wait = max(1, (reply.retry_after or 1) if reply is not None else 1)
                 self.world.later(seconds(wait), lambda: self.submit(until))
 
-        self._ask(Verb.SUBMIT, self.body(), 5, then)
+        self._ask(RequestKind.SUBMIT, self.body(), 5, then)
 
     def body(self) -> bytes:
         """The submission as it is sent; how long the job runs is between the user and its workers."""
         return raw({key: value for key, value in self.spec.items() if key not in ("runS", "broken")})
 
-    def look(self, verb: Verb, to: Front) -> None:
+    def look(self, verb: RequestKind, to: Front) -> None:
         """One more question to one controller, whatever else is asked; the oracle sees the answer."""
-        body = self.body() if verb is Verb.SUBMIT else b""
-        self._ask(verb, body, 2 if verb is Verb.POLL else 5, lambda reply: None, to)
+        body = self.body() if verb is RequestKind.SUBMIT else b""
+        self._ask(verb, body, 2 if verb is RequestKind.POLL else 5, lambda reply: None, to)
 
     def poll(self) -> None:
         self.oracle.asks(self.id)
@@ -90,7 +95,7 @@
                 self.last_reason = message.get("reason", self.last_reason)
             self.world.later(seconds(self.world.random.uniform(4, 6)), self.poll)
 
-        self._ask(Verb.POLL, b"", 2, then)
+        self._ask(RequestKind.POLL, b"", 2, then)
 
     def cancel(self) -> None:
         self.oracle.cancel_asked(self.id)
@@ -99,4 +104,4 @@
             if reply is None or reply.status not in (200, 404):
                 self.world.later(seconds(1), self.cancel)
 
-        self._ask(Verb.CANCEL, b"", 5, then)
+        self._ask(RequestKind.CANCEL, b"", 5, then)
--- a/src/gladecroft/lab/worker.py
+++ b/src/gladecroft/lab/worker.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from gladecroft.coordination.events import Reply, Verb
+from gladecroft.coordination.events import Reply, RequestKind
 from gladecroft.lab.oracle import Oracle
 from gladecroft.lab.simulation import Front, Replier, WorkerLike, World, raw, seconds
 
@@ -205,7 +205,7 @@
             def reply(got: Reply) -> None:
                 self.world.send(controller.name, self.name, lambda: answer(got.status, got.body))
 
-            controller.ask(Verb.REPORT, body, "", reply)
+            controller.ask(RequestKind.REPORT, body, "", reply)
 
         self.world.later(seconds(4), give_up)
         if self.keep_copy is not None:
@@ -217,7 +217,9 @@
             # A copy of the report comes to some controller, long after: nobody waits for its answer.
             other = self.world.random.choice(list(self.controllers))
             late = seconds(self.world.random.uniform(1.0, self.copies[1]))
-            self.world.later(late, lambda: other.ask(Verb.REPORT, body, "", lambda got: None) if other.alive else None)
+            self.world.later(
+                late, lambda: other.ask(RequestKind.REPORT, body, "", lambda got: None) if other.alive else None
+            )
 
     def _elsewhere(self, steward: str | None) -> None:
         self._busy = False
--- a/src/gladecroft/policies/cordon.py
+++ b/src/gladecroft/policies/cordon.py
@@ -13,13 +13,13 @@
 
 from gladecroft.bookkeeping.job import Job
 from gladecroft.policies.interface import Place, Policy
-from gladecroft.protocol.operators import CordonFacts, CordonOrder, Scope, until
+from gladecroft.protocol.operators import CordonInfo, CordonRequest, CordonScope, format_until
 
 #: So many cordons at the most; one for a whole type or zone does for many machines.
 MOST = 500
 
 
-class CordonRecord(CordonFacts, frozen=True, omit_defaults=True):
+class CordonRecord(CordonInfo, frozen=True, omit_defaults=True):
     """A cordon as it is kept."""
 
     def over(self, now: datetime) -> bool:
@@ -28,23 +28,23 @@
     def sentence(self) -> str:
         """Plain words for reasons and views."""
         why = f" ({self.why})" if self.why else ""
-        return f"{self.scope.value} {self.name} takes nothing new{until(self.until_s)}{why}"
+        return f"{self.scope.value} {self.name} takes nothing new{format_until(self.until_s)}{why}"
 
     def shuts(self, place: Place) -> bool:
         return (self.scope, self.name) in _names(place)
 
 
-def _names(place: Place) -> tuple[tuple[Scope, str], ...]:
+def _names(place: Place) -> tuple[tuple[CordonScope, str], ...]:
     """All that a cordon may call a machine by."""
-    return (Scope.MACHINE, place.name), (Scope.TYPE, place.type), (Scope.ZONE, place.zone)
+    return (CordonScope.MACHINE, place.name), (CordonScope.TYPE, place.type), (CordonScope.ZONE, place.zone)
 
 
-def record_name(scope: Scope, name: str) -> str:
+def record_name(scope: CordonScope, name: str) -> str:
     """Under what a cordon is kept. Names may hold what a key can't, so their digest stands for them."""
     return f"{scope.value}.{blake2b(name.encode(), digest_size=12).hexdigest()}"
 
 
-def record_of(order: CordonOrder, now: datetime) -> CordonRecord:
+def record_of(order: CordonRequest, now: datetime) -> CordonRecord:
     return CordonRecord(order.scope, order.name, order.why, order.by, int(now.timestamp()), order.until_s)
 
 
@@ -53,7 +53,7 @@
 
     def __init__(self) -> None:
         self.records: dict[str, CordonRecord] = {}
-        self._by_name: dict[tuple[Scope, str], CordonRecord] = {}
+        self._by_name: dict[tuple[CordonScope, str], CordonRecord] = {}
 
     def take(self, name: str, value: bytes | None) -> None:
         old = self.records.pop(name, None)
--- a/src/gladecroft/policies/engine.py
+++ b/src/gladecroft/policies/engine.py
@@ -17,9 +17,9 @@
 from typing import TypeVar
 
 from gladecroft.bookkeeping.job import Job
-from gladecroft.bookkeeping.records import MachineSort
+from gladecroft.bookkeeping.records import CapacityPool
 from gladecroft.policies.interface import Demand, Drain, Hold, Place, Policy
-from gladecroft.protocol.operators import utc
+from gladecroft.protocol.operators import format_utc
 
 log = logging.getLogger(__name__)
 
@@ -108,23 +108,23 @@
         if latest is None:
             return None
         until = min(latest.until, self.now + LONGEST_HOLD)
-        return f"{whose}: {latest.why}; at the latest {utc(until)}"
+        return f"{whose}: {latest.why}; at the latest {format_utc(until)}"
 
-    def shut(self, name: str, sort: MachineSort) -> str | None:
+    def shut(self, name: str, pool: CapacityPool) -> str | None:
         """Why a machine takes nothing new, whatever the job; None if it does."""
         if not self._filters:
             return None
-        place = Place.of(name, sort)
+        place = Place.of(name, pool)
         known = self._shut.get(place)
         if known is None:
             known = self._shut[place] = self._refusal(None, place, by_job=False) or ""
         return known or None
 
-    def refusal(self, job: Job, name: str, sort: MachineSort) -> str | None:
+    def refusal(self, job: Job, name: str, pool: CapacityPool) -> str | None:
         """Why a machine may not take a job; None if all agree that it may."""
         if not self._filters:
             return None
-        return self.shut(name, sort) or self._refusal(job, Place.of(name, sort), by_job=True)
+        return self.shut(name, pool) or self._refusal(job, Place.of(name, pool), by_job=True)
 
     def _refusal(self, job: Job | None, place: Place, by_job: bool) -> str | None:
         for policy in self._filters:
@@ -134,10 +134,10 @@
                     return f"{policy.subject}: {said}"
         return None
 
-    def score(self, job: Job, name: str, sort: MachineSort) -> float:
+    def score(self, job: Job, name: str, pool: CapacityPool) -> float:
         if not self._scores:
             return 0.0
-        place = Place.of(name, sort)
+        place = Place.of(name, pool)
         return sum(
             self._ask(policy, partial(policy.score, job, place, self.now), 0.0, _is_score) for policy in self._scores
         )
@@ -165,11 +165,11 @@
                     largest[(each.type, each.zone)] = each
         return list(largest.values())
 
-    def drain(self, name: str, sort: MachineSort) -> Drain | None:
+    def drain(self, name: str, pool: CapacityPool) -> Drain | None:
         """By when, at the earliest that any policy says, a machine is to be empty."""
         if not self._drains:
             return None
-        place = Place.of(name, sort)
+        place = Place.of(name, pool)
         if place in self._drained:
             return self._drained[place]
         earliest: Drain | None = None
--- a/src/gladecroft/policies/interface.py
+++ b/src/gladecroft/policies/interface.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from gladecroft.bookkeeping.job import Job
-from gladecroft.bookkeeping.records import MachineSort
+from gladecroft.bookkeeping.records import CapacityPool
 
 
 class Place(msgspec.Struct, frozen=True):
@@ -23,8 +23,8 @@
     spot: bool
 
     @staticmethod
-    def of(name: str, sort: MachineSort) -> Place:
-        return Place(name, *sort)
+    def of(name: str, pool: CapacityPool) -> Place:
+        return Place(name, *pool)
 
 
 class Hold(msgspec.Struct, frozen=True):
--- a/src/gladecroft/protocol/operators.py
+++ b/src/gladecroft/protocol/operators.py
@@ -14,17 +14,17 @@
 ADMISSION_PATH = "/admission"
 
 
-def utc(at: datetime) -> str:
+def format_utc(at: datetime) -> str:
     """An instant as logs, reasons and commands write it."""
     return f"{at:%Y-%m-%d %H:%M:%S} UTC"
 
 
-def until(until_s: int) -> str:
+def format_until(until_s: int) -> str:
     """The end of something, by the time of day, to be put after other words; nothing if it has none (0)."""
-    return f" until {utc(datetime.fromtimestamp(until_s, UTC))}" if until_s else ""
+    return f" until {format_utc(datetime.fromtimestamp(until_s, UTC))}" if until_s else ""
 
 
-class Scope(Enum):
+class CordonScope(Enum):
     """What a cordon's name is the name of."""
 
     MACHINE = "machine"
@@ -32,10 +32,10 @@
     ZONE = "zone"
 
 
-class CordonOrder(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class CordonRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
     """Set a cordon or, with ``lift``, end it. ``until_s``: when it ends by itself, in seconds of the time of day."""
 
-    scope: Scope
+    scope: CordonScope
     name: Annotated[str, Meta(min_length=1, max_length=200)]
     why: Annotated[str, Meta(max_length=200)] = ""
     by: Annotated[str, Meta(max_length=80)] = ""
@@ -43,10 +43,10 @@
     lift: bool = False
 
 
-class CordonFacts(msgspec.Struct, frozen=True, omit_defaults=True):
+class CordonInfo(msgspec.Struct, frozen=True, omit_defaults=True):
     """A cordon that is set. ``until_s``: when it ends, by the time of day; 0: when an operator lifts it."""
 
-    scope: Scope
+    scope: CordonScope
     name: str
     why: str = ""
     by: str = ""
@@ -54,17 +54,17 @@
     until_s: int = 0
 
 
-class CordonShown(CordonFacts, frozen=True, omit_defaults=True):
+class CordonStatus(CordonInfo, frozen=True, omit_defaults=True):
     """A cordon as operators see it, and how many machines it shuts."""
 
     machines: int = 0
 
 
-class Cordons(msgspec.Struct, frozen=True):
-    cordons: list[CordonShown]
+class CordonList(msgspec.Struct, frozen=True):
+    cordons: list[CordonStatus]
 
 
-class GroupShown(msgspec.Struct, frozen=True):
+class GroupStatus(msgspec.Struct, frozen=True):
     """A team's jobs of one class: unfinished jobs, and cores in use, waited for, guaranteed as floor and due as share.
 
     ``taken``: the part of new submissions, by their users' minute of tries, that is taken (1: all)."""
@@ -79,11 +79,11 @@
     taken: float = 1.0
 
 
-class AdmissionShown(msgspec.Struct, frozen=True):
+class AdmissionStatus(msgspec.Struct, frozen=True):
     """What is agreed. ``level``: open (nothing is), shaping (floors and shares count), shedding (some are refused)."""
 
     level: str
     generation: int
     since_s: int
     until_s: int
-    groups: list[GroupShown]
+    groups: list[GroupStatus]
--- a/src/gladecroft/protocol/peers.py
+++ b/src/gladecroft/protocol/peers.py
@@ -4,16 +4,16 @@
 
 import msgspec
 
-ENDED_PATH = "/ended"
-HEARD_PATH = "/heard"
-HEARS_PATH = "/hears"
+ENDED_ATTEMPTS_PATH = "/ended"
+REPORTED_MACHINES_PATH = "/heard"
+REPORTING_MACHINES_PATH = "/hears"
 CONSENT_PATH = "/consent"
 #: How many ends go into one message at the most; with the longest names it stays under the limit of a body.
-MOST_ENDED = 300
+MAX_ENDED_PER_MESSAGE = 300
 #: The same for machines; names are at most 200 bytes long.
-MOST_HEARD = 80
+MAX_MACHINES_PER_MESSAGE = 80
 #: The same for cancelled jobs, whose names are at most 43 bytes long.
-MOST_CANCELLED = 900
+MAX_CANCELLED_PER_MESSAGE = 900
 
 
 class EndedAttempt(msgspec.Struct, gc=False, frozen=True, array_like=True):
@@ -27,14 +27,14 @@
     failed: bool = False
 
 
-class Ended(msgspec.Struct, frozen=True):
+class EndedAttempts(msgspec.Struct, frozen=True):
     """From the owner of the machines to the home of the jobs. The proofs hold under this epoch only."""
 
     epoch: int
     attempts: list[EndedAttempt]
 
 
-class HeardMachine(msgspec.Struct, gc=False, frozen=True, array_like=True):
+class ReportedMachine(msgspec.Struct, gc=False, frozen=True, array_like=True):
     """A machine that has reported to its owner. What is told of it never changes."""
 
     name: str
@@ -44,14 +44,14 @@
     addr: str
 
 
-class Heard(msgspec.Struct, frozen=True):
+class ReportedMachines(msgspec.Struct, frozen=True):
     """From the owner of machines, or the leader, to all other controllers. ``gone``: returned to the cloud."""
 
-    machines: list[HeardMachine]
+    machines: list[ReportedMachine]
     gone: list[str] = []
 
 
-class ConsentWanted(msgspec.Struct, frozen=True):
+class ConsentRequest(msgspec.Struct, frozen=True):
     """From a controller that the state service does not serve: may it go on answering its machines under this epoch?
 
     ``revision``: up to which its picture holds all that was committed. Without it nothing is told of cancellations.
@@ -68,7 +68,7 @@
     version: int
 
 
-class Consented(msgspec.Struct, frozen=True):
+class ConsentReply(msgspec.Struct, frozen=True):
     """The answer to ``ConsentWanted``: yes, and the cancellations known to the sender that are newer than the asker's
     revision. ``complete``: these are all of them, and all that the sender, in whatever life, has ever told a user."""
 
@@ -76,7 +76,7 @@
     complete: bool = False
 
 
-class Names(msgspec.Struct, frozen=True):
+class ReportingMachines(msgspec.Struct, frozen=True):
     """Machines about which their owner is asked, and, in its answer, those of them that it hears."""
 
     machines: list[str]
--- a/src/gladecroft/protocol/settings.py
+++ b/src/gladecroft/protocol/settings.py
@@ -14,47 +14,47 @@
 from gladecroft.protocol.wire import Priority
 
 Positive = Annotated[float, Meta(gt=0.0)]
-NotNegative = Annotated[float, Meta(ge=0.0)]
+NonNegative = Annotated[float, Meta(ge=0.0)]
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 
 #: The policies that there are.
 POLICIES = frozenset({"cordon"})
 
 #: Steady clocks may disagree by this share of a span.
-DRIFT = 0.0005
+MAX_CLOCK_DRIFT = 0.0005
 
 
 class SettingsError(Exception):
     """The settings can't be used; the text names the file and the field."""
 
 
-class Sibling(msgspec.Struct, rename={"name": "label", "zone": "site"}):
+class PeerSettings(msgspec.Struct, rename={"name": "label", "zone": "site"}):
     name: Name
     peer_addr: str
     zone: str = ""
 
 
-class Outside(msgspec.Struct):
+class ExternalServices(msgspec.Struct):
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct):
     name: Name
-    cpus: NotNegative
-    cpus_max: NotNegative
-    gpus: NotNegative = 0.0
-    gpus_max: NotNegative = 0.0
+    cpus: NonNegative
+    cpus_max: NonNegative
+    gpus: NonNegative = 0.0
+    gpus_max: NonNegative = 0.0
 
     # A 0 stands for "none": no guarantee, and no limit. (Read as a limit of nothing, every job of such a team would be
     # refused for good.)
 
     @property
-    def most_cpus(self) -> float:
+    def cpu_limit(self) -> float:
         return self.cpus_max or math.inf
 
     @property
-    def most_gpus(self) -> float:
+    def gpu_limit(self) -> float:
         return self.gpus_max or math.inf
 
     @property
@@ -69,27 +69,27 @@
     job_class: str = ""
 
 
-class Workers(msgspec.Struct):
+class WorkerSettings(msgspec.Struct):
     report_s: Positive
     lease_s: Positive
     cancel_s: Positive
-    gang_wait_s: NotNegative = 0.0
-    gang_peer_s: NotNegative = 0.0
+    gang_wait_s: NonNegative = 0.0
+    gang_peer_s: NonNegative = 0.0
 
 
-class State(msgspec.Struct):
+class StateServiceSettings(msgspec.Struct):
     rps: Positive
     write_rps: Positive
     value_kb: Positive
     txn_ops: Annotated[int, Meta(ge=4)]
 
 
-class Cloud(msgspec.Struct):
+class CloudSettings(msgspec.Struct):
     rps: Positive
-    list_lag_s: NotNegative
+    list_lag_s: NonNegative
 
 
-class Resources(
+class ProcessLimits(
     msgspec.Struct, rename={"cpu_share": "core_share", "memory_mb": "ram_mb", "max_connections": "fd_limit"}
 ):
     cpu_share: Positive = 1.0
@@ -97,18 +97,18 @@
     max_connections: Annotated[int, Meta(ge=32)] = 512
 
 
-class Cluster(msgspec.Struct, rename={"limits": "resources", "clock_off_ms": "time_bound_ms"}):
+class ClusterSettings(msgspec.Struct, rename={"limits": "resources", "clock_off_ms": "time_bound_ms"}):
     zones: list[str]
     teams: list[Team]
-    workers: Workers
-    state: State
-    cloud: Cloud
-    clock_off_ms: NotNegative = 0.0
-    limits: Resources = msgspec.field(default_factory=Resources)
+    workers: WorkerSettings
+    state: StateServiceSettings
+    cloud: CloudSettings
+    clock_off_ms: NonNegative = 0.0
+    limits: ProcessLimits = msgspec.field(default_factory=ProcessLimits)
     objectives: list[Objective] = []
 
 
-class Platform(
+class PlatformSettings(
     msgspec.Struct,
     rename={
         "name": "label",
@@ -124,18 +124,18 @@
 
     name: Name
     listen: str
-    services: Outside
-    cluster: Cluster
+    services: ExternalServices
+    cluster: ClusterSettings
     peer_listen: str = ""
     zone: str = ""
-    peers: list[Sibling] = []
+    peers: list[PeerSettings] = []
 
     @property
     def lease(self) -> timedelta:
         return timedelta(seconds=self.cluster.workers.lease_s)
 
 
-class Operator(msgspec.Struct, forbid_unknown_fields=True, rename=lambda name: name.replace("_", ".")):
+class OperatorSettings(msgspec.Struct, forbid_unknown_fields=True, rename=lambda name: name.replace("_", ".")):
     """The operators' own settings. In the properties file the words of a key are joined by dots."""
 
     priority_line: Priority = Priority.HIGH
@@ -155,14 +155,14 @@
         return [name for name in (each.strip() for each in self.policies.split(",")) if name]
 
 
-def split_addr(addr: str, where: str = "address") -> tuple[str, int]:
+def parse_address(addr: str, where: str = "address") -> tuple[str, int]:
     host, colon, port = addr.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise SettingsError(f"{where}: expected HOST:PORT, got {addr!r}")
     return host, int(port)
 
 
-def load_platform(path: str | Path) -> Platform:
+def load_platform(path: str | Path) -> PlatformSettings:
     try:
         table = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -170,7 +170,7 @@
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise SettingsError(f"{path}: not TOML: {error}") from None
     try:
-        platform = msgspec.convert(table, Platform)
+        platform = msgspec.convert(table, PlatformSettings)
     except msgspec.ValidationError as error:
         raise SettingsError(f"{path}: {error}") from None
     for where, addr in (
@@ -180,7 +180,7 @@
         *(((("peer_bind", platform.peer_listen),)) if platform.peer_listen else ()),
         *((f"siblings.{peer.name}.peer_addr", peer.peer_addr) for peer in platform.peers),
     ):
-        split_addr(addr, f"{path}: {where}")
+        parse_address(addr, f"{path}: {where}")
     names = [team.name for team in platform.cluster.teams]
     if len(set(names)) != len(names):
         raise SettingsError(f"{path}: settings.teams: a name stands twice")
@@ -190,10 +190,10 @@
     return platform
 
 
-def load_operator(path: str | Path | None) -> Operator:
+def load_operator(path: str | Path | None) -> OperatorSettings:
     """Read the operators' properties; without a file every setting has its default."""
     if path is None:
-        return Operator()
+        return OperatorSettings()
     # Only when used: it brings half of the standard library's web modules, a sixth of what a start costs.
     from javaproperties import InvalidUEscapeError, loads
 
@@ -203,12 +203,12 @@
         raise SettingsError(f"{path}: {error.strerror}") from None
     except (UnicodeDecodeError, InvalidUEscapeError) as error:
         raise SettingsError(f"{path}: {error}") from None
-    known = {field.encode_name for field in msgspec.structs.fields(Operator)}
+    known = {field.encode_name for field in msgspec.structs.fields(OperatorSettings)}
     for key in table:
         if key not in known:
             raise SettingsError(f"{path}: {key}: unknown setting (known: {', '.join(sorted(known))})")
     try:
-        operator = msgspec.convert(table, Operator, strict=False)
+        operator = msgspec.convert(table, OperatorSettings, strict=False)
     except msgspec.ValidationError as error:
         raise SettingsError(f"{path}: {error}") from None
     names = operator.policy_names()
@@ -220,7 +220,7 @@
     return operator
 
 
-def member_ttl(operator: Operator, platform: Platform) -> timedelta:
+def member_ttl(operator_settings: OperatorSettings, platform: PlatformSettings) -> timedelta:
     """The member lease, kept well under what a cancellation leaves after a machine's lease."""
     workers = platform.cluster.workers
-    return timedelta(seconds=min(operator.member_ttl, (workers.cancel_s - workers.lease_s) / 2.5))
+    return timedelta(seconds=min(operator_settings.member_ttl, (workers.cancel_s - workers.lease_s) / 2.5))
--- a/src/gladecroft/protocol/wire.py
+++ b/src/gladecroft/protocol/wire.py
@@ -13,14 +13,14 @@
 import msgspec
 from msgspec import UNSET, Meta, UnsetType
 
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 JOB_ID = re.compile(r"wk-[0-9]{1,40}\Z")
 
 Amount = Annotated[float, Meta(ge=0.0, le=1e12)]
 Count = Annotated[int, Meta(ge=0)]
 
 
-class Kind(StrEnum):
+class JobKind(StrEnum):
     ARRAY = "batch"
     SERVICE = "service"
     #: All tasks run at the same time or not at all. The deployments' protocol does not offer it to users yet.
@@ -38,14 +38,14 @@
 PRIORITY_RANK = {Priority.PRODUCTION: 0, Priority.HIGH: 1, Priority.NORMAL: 2, Priority.LOW: 3}
 
 
-class Status(StrEnum):
+class JobState(StrEnum):
     QUEUED = "queued"
     RUNNING = "running"
     DONE = "done"
     CANCELLED = "aborted"
 
 
-class TaskState(StrEnum):
+class ReportedTaskState(StrEnum):
     FETCHING = "fetching"
     RUNNING = "running"
     WAITING = "waiting"
@@ -53,7 +53,7 @@
     EXITED = "exited"
 
 
-class Why(StrEnum):
+class ExitReason(StrEnum):
     DONE = "done"
     STOPPED = "halted"
     ERROR = "error"
@@ -62,7 +62,7 @@
     UNKNOWN = "no_such"
 
 
-class Op(StrEnum):
+class CommandOp(StrEnum):
     START = "start"
     STOP = "halt"
     FORGET = "reap"
@@ -105,7 +105,7 @@
     id: str
     job_class: str
     team: str
-    kind: Kind
+    kind: JobKind
     priority: Priority
     tasks: Annotated[int, Meta(ge=1, le=100_000)]
     cpus: Amount
@@ -123,34 +123,34 @@
     zone: str | None = None
     deadline_s: Amount | None = None
 
-    def zone_cap(self) -> int:
+    def max_tasks_per_zone(self) -> int:
         """How many of the tasks may be in one zone at a time."""
         return (self.tasks + 1) // 2 if self.spread else self.tasks
 
 
 class JobStatus(msgspec.Struct, omit_defaults=True, rename={"id": "nameId", "state": "status"}):
     id: str
-    state: Status
+    state: JobState
     done: int | UnsetType = UNSET
     running: int | UnsetType = UNSET
     reason: str | UnsetType = UNSET
 
 
-class Refusal(msgspec.Struct):
+class ErrorReply(msgspec.Struct):
     error: str
 
 
-class Steward(msgspec.Struct, omit_defaults=True, rename={"report_to": "steward"}):
+class ReportTarget(msgspec.Struct, omit_defaults=True, rename={"report_to": "steward"}):
     report_to: str | None = None
 
 
 class TaskReport(
-    msgspec.Struct, gc=False, rename={"task": "portion", "attempt": "try", "state": "status", "why": "cause"}
+    msgspec.Struct, gc=False, rename={"task": "portion", "attempt": "try", "state": "status", "exit_reason": "cause"}
 ):
     task: str
     attempt: Count
-    state: TaskState
-    why: str | None = None
+    state: ReportedTaskState
+    exit_reason: str | None = None
     saved: bool = False
 
 
@@ -187,7 +187,7 @@
     omit_defaults=True,
     rename={"op": "verb", "task": "portion", "attempt": "try", "grace_s": "mercyS"},
 ):
-    op: Op
+    op: CommandOp
     task: str
     attempt: int
     grace_s: float | UnsetType = UNSET
@@ -230,7 +230,7 @@
     types: list[MachineType]
 
 
-class Rent(
+class RentalRequest(
     msgspec.Struct,
     rename={"request": "booking", "type": "flavor", "zone": "district", "spot": "leftovers", "count": "number"},
 ):
@@ -296,23 +296,23 @@
     failed: list[str] = []
 
 
-class Item(msgspec.Struct, gc=False, rename={"value": "data", "version": "stamp"}):
+class KeyValue(msgspec.Struct, gc=False, rename={"value": "data", "version": "stamp"}):
     key: str
     value: msgspec.Raw
     version: int
 
 
-class Missing(msgspec.Struct, rename={"revision": "ledger"}):
+class KeyNotFound(msgspec.Struct, rename={"revision": "ledger"}):
     revision: int
 
 
-class Range(msgspec.Struct, rename={"items": "pairs", "more": "truncated", "revision": "ledger"}):
-    items: list[Item]
+class RangeReply(msgspec.Struct, rename={"items": "pairs", "more": "truncated", "revision": "ledger"}):
+    items: list[KeyValue]
     revision: int
     more: bool = False
 
 
-class LogEntry(
+class WatchEvent(
     msgspec.Struct, gc=False, rename={"put": "write", "delete": "drop", "value": "data", "version": "stamp"}
 ):
     version: int
@@ -323,14 +323,14 @@
 
 class WatchReply(msgspec.Struct, rename={"revision": "ledger", "events": "log"}):
     revision: int
-    events: list[LogEntry] = []
+    events: list[WatchEvent] = []
 
 
-class Grant(msgspec.Struct, rename={"ttl_ms": "ttlMs"}):
+class LeaseRequest(msgspec.Struct, rename={"ttl_ms": "ttlMs"}):
     ttl_ms: int
 
 
-class Granted(msgspec.Struct, rename={"lease": "tenure"}):
+class LeaseReply(msgspec.Struct, rename={"lease": "tenure"}):
     lease: int
 
 
@@ -363,14 +363,14 @@
     return spec
 
 
-class Named(msgspec.Struct, rename={"id": "nameId"}):
+class JobReference(msgspec.Struct, rename={"id": "nameId"}):
     id: str
 
 
-def job_named(body: bytes) -> str | None:
+def submitted_job_id(body: bytes) -> str | None:
     """The job that a submission names, though it may be malformed else; None: it names none."""
     try:
-        name: str = decode(Named, body).id
+        name: str = decode(JobReference, body).id
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         return None
     return name if JOB_ID.match(name) else None
@@ -378,7 +378,7 @@
 
 # Paths of the outside interfaces.
 SUBMIT_PATH = "/work"
-CANCEL_END = "abort"
+CANCEL_SUFFIX = "abort"
 REPORT_PATH = "/agent/beat"
 HEALTH_PATH = "/healthz"
 COMMANDS_PATH = "/commands"
@@ -391,7 +391,7 @@
 GRANTS_PATH = "/grants"
 
 
-def renew_path(lease: int) -> str:
+def renew_lease_path(lease: int) -> str:
     return f"{GRANTS_PATH}/{lease}/renew"
 
 
@@ -408,6 +408,6 @@
     return f"/watch?prefix={prefix}&after={after}&blockMs={wait_ms}"
 
 
-def list_path(after: str | None, limit: int) -> str:
+def list_machines_path(after: str | None, limit: int) -> str:
     tail = f"after={after}&" if after else ""
     return f"{MACHINES_PATH}?{tail}page={limit}"
--- a/src/gladecroft/toolbox/admission.py
+++ b/src/gladecroft/toolbox/admission.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from gladecroft.protocol import operators
-from gladecroft.protocol.operators import AdmissionShown, GroupShown, until
+from gladecroft.protocol.operators import AdmissionStatus, GroupStatus, format_until
 from gladecroft.toolbox.controller_client import ask
 from gladecroft.toolbox.options import as_json_option, node_option, wait_option
 
@@ -31,7 +31,7 @@
 def show(nodes: tuple[str, ...], wait: float, as_json: bool) -> None:
     """Show level, generation, shares and floors, and what each team and class has."""
     shown = msgspec.json.decode(
-        ask(nodes, "GET", operators.ADMISSION_PATH, None, timedelta(seconds=wait)), type=AdmissionShown
+        ask(nodes, "GET", operators.ADMISSION_PATH, None, timedelta(seconds=wait)), type=AdmissionStatus
     )
     if as_json:
         click.echo(msgspec.json.encode(shown))
@@ -39,14 +39,17 @@
     click.echo(f"{shown.level}: {SAYS.get(shown.level, '')}")
     if shown.generation:
         since = datetime.fromtimestamp(shown.since_s, UTC)
-        click.echo(f"generation {shown.generation}, since {operators.utc(since)}{until(shown.until_s)} unless renewed")
+        click.echo(
+            f"generation {shown.generation}, since {operators.format_utc(since)}{format_until(shown.until_s)}"
+            " unless renewed"
+        )
     if shown.groups:
         click.echo(f"{'team':24}{'class':24}{'jobs':>7}{'used':>10}{'waiting':>10}{'floor':>9}{'share':>9}{'taken':>7}")
     for group in shown.groups:
         click.echo(_line(group))
 
 
-def _line(group: GroupShown) -> str:
+def _line(group: GroupStatus) -> str:
     def cores(value: float | None) -> str:
         return "-" if value is None else f"{value:.0f}"
 
--- a/src/gladecroft/toolbox/controller_client.py
+++ b/src/gladecroft/toolbox/controller_client.py
@@ -12,8 +12,8 @@
 import click
 import msgspec
 
-from gladecroft.protocol.settings import SettingsError, split_addr
-from gladecroft.protocol.wire import Refusal
+from gladecroft.protocol.settings import SettingsError, parse_address
+from gladecroft.protocol.wire import ErrorReply
 from gladecroft.transport.client import Answer, Client
 
 REFUSED = 1
@@ -32,7 +32,7 @@
 def said(answer: Answer) -> str:
     """What a refusal says, in words."""
     try:
-        return msgspec.json.decode(answer.body, type=Refusal).error
+        return msgspec.json.decode(answer.body, type=ErrorReply).error
     except msgspec.DecodeError:
         return answer.body.decode(errors="replace")[:200]
 
@@ -41,7 +41,7 @@
     """The body of the first 200. Who can't take it now, or does not answer, is passed over and tried again within
     ``wait``; any other answer ends the command."""
     try:
-        addrs = [(node, split_addr(node, "--node")) for node in nodes]
+        addrs = [(node, parse_address(node, "--node")) for node in nodes]
     except SettingsError as error:
         fail(BAD_INPUT, str(error))
     until = time.monotonic() + wait.total_seconds()
--- a/src/gladecroft/toolbox/cordon.py
+++ b/src/gladecroft/toolbox/cordon.py
@@ -10,13 +10,13 @@
 import msgspec
 
 from gladecroft.protocol import operators
-from gladecroft.protocol.operators import CordonOrder, Cordons, Scope
+from gladecroft.protocol.operators import CordonList, CordonRequest, CordonScope
 from gladecroft.toolbox.controller_client import BAD_INPUT, ask, fail
 from gladecroft.toolbox.options import as_json_option, node_option, wait_option
 
 UNITS = {"s": 1, "m": 60, "h": 3600, "d": 86400}
 
-_scope = click.argument("scope", type=click.Choice([scope.value for scope in Scope]))
+_scope = click.argument("scope", type=click.Choice([scope.value for scope in CordonScope]))
 _name = click.argument("name")
 
 
@@ -81,7 +81,7 @@
         by = getpass.getuser()
     except (OSError, KeyError):
         by = ""
-    _order(CordonOrder(Scope(scope), name, why, by, until_s), nodes, wait, as_json)
+    _order(CordonRequest(CordonScope(scope), name, why, by, until_s), nodes, wait, as_json)
 
 
 @cordon.command()
@@ -92,13 +92,13 @@
 @as_json_option
 def lift(scope: str, name: str, nodes: tuple[str, ...], wait: float, as_json: bool) -> None:
     """End a cordon."""
-    _order(CordonOrder(Scope(scope), name, lift=True), nodes, wait, as_json)
+    _order(CordonRequest(CordonScope(scope), name, lift=True), nodes, wait, as_json)
 
 
-def _order(order: CordonOrder, nodes: tuple[str, ...], wait: float, as_json: bool) -> None:
+def _order(order: CordonRequest, nodes: tuple[str, ...], wait: float, as_json: bool) -> None:
     body = msgspec.json.encode(order)
     try:
-        msgspec.json.decode(body, type=CordonOrder)
+        msgspec.json.decode(body, type=CordonRequest)
     except msgspec.ValidationError as error:
         fail(BAD_INPUT, str(error))
     ask(nodes, "POST", operators.CORDONS_PATH, body, timedelta(seconds=wait))
@@ -107,7 +107,7 @@
     elif order.lift:
         click.echo(f"{order.scope.value} {order.name}: the cordon is lifted")
     else:
-        click.echo(f"{order.scope.value} {order.name} takes nothing new{operators.until(order.until_s)}")
+        click.echo(f"{order.scope.value} {order.name} takes nothing new{operators.format_until(order.until_s)}")
 
 
 @cordon.command("list")
@@ -120,12 +120,12 @@
     if as_json:
         click.echo(body.decode())
         return
-    cordons = msgspec.json.decode(body, type=Cordons).cordons
+    cordons = msgspec.json.decode(body, type=CordonList).cordons
     for each in cordons:
         about = ", ".join(part for part in (each.why, f"by {each.by}" if each.by else "") if part)
         machines = f"{each.machines} machine{'' if each.machines == 1 else 's'}"
         click.echo(
-            f"{each.scope.value} {each.name}: {machines}{operators.until(each.until_s)}"
+            f"{each.scope.value} {each.name}: {machines}{operators.format_until(each.until_s)}"
             + (f" ({about})" if about else "")
         )
     if not cordons:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -13,38 +13,50 @@
 from hypothesis import strategies as st
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.workload import GroupUse
-from gladecroft.coordination.admission import Admission
+from gladecroft.bookkeeping.workload import GroupUsage
+from gladecroft.coordination.admission import AdmissionControl
 from gladecroft.coordination.admission.control import _fitting
-from gladecroft.coordination.admission.drf import Amounts, Need, dominant, fair_parts
-from gladecroft.coordination.admission.fair_share import Held, fair_shares, guarantees_exceed, starving
-from gladecroft.coordination.admission.tiers import FIRST, LAST, USUAL, Tiers
-from gladecroft.coordination.admission.window import Flow, next_gate, parts_of_all, wait_of
-from gladecroft.coordination.events import Answered, Asked, Call, Reply, Verb, Watched, by_urgency
+from gladecroft.coordination.admission.drf import ResourceDemand, ResourceVector, dominant, fair_parts
+from gladecroft.coordination.admission.fair_share import GroupDemand, fair_shares, guarantees_exceed, starving
+from gladecroft.coordination.admission.tiers import BOOSTED, DEFERRED, NORMAL, PriorityTiers
+from gladecroft.coordination.admission.window import JobFlow, next_gate, parts_of_all, wait_of
+from gladecroft.coordination.events import (
+    CallResult,
+    IncomingRequest,
+    OutgoingCall,
+    Reply,
+    RequestKind,
+    WatchResult,
+    user_requests_last,
+)
 from gladecroft.lab.overload import FLEET, drip, fleet, pour, started
 from gladecroft.lab.scenario import Scenario
 from gladecroft.lab.simulation import Replier, seconds
 from gladecroft.protocol import wire
-from gladecroft.protocol.settings import Operator, Team
-from gladecroft.protocol.wire import Kind
+from gladecroft.protocol.settings import OperatorSettings, Team
+from gladecroft.protocol.wire import JobKind
 from gladecroft.toolbox.admission import admission as command
-from test_epochs import clock
-from test_fencing import SPEC, Rig
+from test_epochs import clock_at
+from test_fencing import SPEC, CoreHarness
 from test_protocol import JOB
 
 AMOUNTS = st.tuples(st.floats(0.1, 100), st.floats(0.1, 100))
 CAPACITY = st.tuples(st.floats(10, 100), st.floats(10, 100))
-NEEDS = st.lists(AMOUNTS, min_size=1, max_size=6).map(lambda all: {n: Need(each) for n, each in enumerate(all)})
+NEEDS = st.lists(AMOUNTS, min_size=1, max_size=6).map(
+    lambda all: {n: ResourceDemand(each) for n, each in enumerate(all)}
+)
 
 
-def use_of(amounts: Amounts, bundle: Amounts) -> float:
+def use_of(amounts: ResourceVector, bundle: ResourceVector) -> float:
     """How much of its need a group could do with a bundle."""
     return min(1.0, min(there / each for there, each in zip(bundle, amounts, strict=True)))
 
 
 @settings(max_examples=200)
 @given(NEEDS, CAPACITY, st.floats(1.0, 20.0), st.integers(0, 5))
-def test_shares_have_the_textbook_properties(needs: dict[int, Need], capacity: Amounts, more: float, who: int) -> None:
+def test_shares_have_the_textbook_properties(
+    needs: dict[int, ResourceDemand], capacity: ResourceVector, more: float, who: int
+) -> None:
     parts = fair_parts(needs, capacity)
     bundles = {key: tuple(each * parts[key] for each in need.amounts) for key, need in needs.items()}
     used = [sum(bundle[index] for bundle in bundles.values()) for index in range(2)]
@@ -57,7 +69,7 @@
         for other in needs:
             assert use_of(need.amounts, bundles[other]) <= parts[key] + 1e-5, "no envy"
     liar = who % len(needs)
-    asked = Need(tuple(each * more for each in needs[liar].amounts))
+    asked = ResourceDemand(tuple(each * more for each in needs[liar].amounts))
     lied = fair_parts({**needs, liar: asked}, capacity)[liar]
     assert min(1.0, lied * more) <= parts[liar] + 1e-5, "no gain by asking for more"
     larger = fair_parts(needs, tuple(there * more for there in capacity))
@@ -67,10 +79,10 @@
 def test_guarantees_come_first_limits_hold_and_what_is_not_used_is_lent() -> None:
     teams = {"a": Team("a", 60.0, 0.0), "b": Team("b", 0.0, 0.0), "c": Team("c", 10.0, 15.0)}
     held = {
-        ("a", "x"): Held((0.0, 0.0, 0.0), (80.0, 0.0, 0.0)),
-        ("b", "x"): Held((0.0, 0.0, 0.0), (500.0, 0.0, 0.0)),
-        ("b", "y"): Held((0.0, 0.0, 0.0), (5.0, 0.0, 0.0)),
-        ("c", "x"): Held((0.0, 0.0, 0.0), (90.0, 0.0, 0.0)),
+        ("a", "x"): GroupDemand((0.0, 0.0, 0.0), (80.0, 0.0, 0.0)),
+        ("b", "x"): GroupDemand((0.0, 0.0, 0.0), (500.0, 0.0, 0.0)),
+        ("b", "y"): GroupDemand((0.0, 0.0, 0.0), (5.0, 0.0, 0.0)),
+        ("c", "x"): GroupDemand((0.0, 0.0, 0.0), (90.0, 0.0, 0.0)),
     }
     shares = {group: round(share.share, 2) for group, share in fair_shares(held, teams, (100.0, 0.0, 300.0)).items()}
     # Guarantees first; what is left goes by them too. Of b's part the small class has all that it asks for, and could
@@ -82,25 +94,25 @@
     halved = fair_shares(held, teams, (35.0, 0.0, 300.0))
     assert round(sum(share.share for share in halved.values()), 2) == 35.0
     # A thousand teams, one job each.
-    many = {(f"t{n}", "x"): Held((0.0, 0.0, 0.0), (4.0, 0.0, 8.0)) for n in range(1000)}
+    many = {(f"t{n}", "x"): GroupDemand((0.0, 0.0, 0.0), (4.0, 0.0, 8.0)) for n in range(1000)}
     even = fair_shares(many, {}, (1000.0, 0.0, 4000.0))
     assert {round(share.share, 2) for share in even.values()} == {1.0}
 
 
 def test_who_is_below_its_floor_comes_first_and_who_is_above_its_share_last() -> None:
-    rig = Rig()
+    rig = CoreHarness()
     spec = msgspec.structs.replace(SPEC, id="wk-2", team="t", gpus=0.0, cpus=2.0, tasks=5, job_class="x")
-    rig.put("g/j/wk-2", rec.JobRecord(spec, 0))
-    rig.put(
+    rig.put_record("g/j/wk-2", rec.JobRecord(spec, 0))
+    rig.put_record(
         "g/p/wk-2/0", rec.ChunkRecord([rec.TaskRecord(rec.TaskState.ACTIVE, 1, "m-1")] * 2 + [rec.TaskRecord()] * 3)
     )
     record = rec.AdmissionRecord(1, "shaping", 0, 10, [rec.GroupShare("t", "x", 6.0, 8.0)])
-    tiers = Tiers(record, rig.core.node.picture.waiting.groups)
-    assert tiers.of(("t", "x"), False) == FIRST and tiers.of(("t", "y"), False) == USUAL
-    tiers.plan(("t", "x"), 2.0)
-    assert tiers.of(("t", "x"), False) == USUAL
-    tiers.plan(("t", "x"), 2.0)
-    assert tiers.of(("t", "x"), False) == LAST and tiers.of(("t", "x"), True) == USUAL
+    tiers = PriorityTiers(record, rig.core.context.cluster_state.workload.groups)
+    assert tiers.tier_of(("t", "x"), False) == BOOSTED and tiers.tier_of(("t", "y"), False) == NORMAL
+    tiers.add_planned(("t", "x"), 2.0)
+    assert tiers.tier_of(("t", "x"), False) == NORMAL
+    tiers.add_planned(("t", "x"), 2.0)
+    assert tiers.tier_of(("t", "x"), False) == DEFERRED and tiers.tier_of(("t", "x"), True) == NORMAL
 
 
 def flood(on: bool, nodes: int = 3, until: float = 300.0, deeds: list[tuple[float, str]] | None = None) -> Scenario:
@@ -136,9 +148,9 @@
     )
     assert started(scenario, "2") >= 0.5 * 8 * 15
     generations = {
-        core.node.picture.admission.generation
+        core.context.cluster_state.admission.generation
         for each in scenario.controllers
-        if (core := each.core) is not None and core.node.picture.admission is not None
+        if (core := each.core) is not None and core.context.cluster_state.admission is not None
     }
     assert len(generations) == 1, "all go by one generation"
 
@@ -159,29 +171,31 @@
         words = ["submit", f"wk-{number}", f"team={'ab'[number % 2]}", "tasks=6", "cpus=4", "run=8"]
         scenario.world.at(seconds(2 + number * 2.0), partial(scenario._do, words))
     scenario.world.run_until(seconds(90))
-    assert all(each.core.node.picture.admission is None for each in scenario.controllers if each.core)
+    assert all(each.core.context.cluster_state.admission is None for each in scenario.controllers if each.core)
     return asked
 
 
 def test_switched_off_or_without_an_overload_it_asks_for_nothing() -> None:
     assert asked_of_the_state_service("false") == asked_of_the_state_service("true")
-    rig = Rig(Operator(admission=False))
+    rig = CoreHarness(OperatorSettings(admission=False))
     core = rig.core
-    assert core.admission is None and core.placers.agreed is None and core.users.wait_of is None
+    assert core.admission is None and core.scheduler.current_tiers is None and core.users.retry_delay is None
 
 
 def test_an_agreement_that_nobody_renews_ends_by_itself() -> None:
-    rig = Rig(Operator(admission=True))
+    rig = CoreHarness(OperatorSettings(admission=True))
     admission = rig.core.admission
     assert admission is not None
-    now = int(rig.core.node.wall.timestamp())
-    rig.put(rec.ADMISSION, rec.AdmissionRecord(3, "shaping", now, now + 30, [rec.GroupShare("t", "c", 4.0, 8.0)]))
+    now = int(rig.core.context.wall_time.timestamp())
+    rig.put_record(
+        rec.ADMISSION, rec.AdmissionRecord(3, "shaping", now, now + 30, [rec.GroupShare("t", "c", 4.0, 8.0)])
+    )
     assert admission.tiers() is not None
-    rig.core.node.wall = clock(rig.at + 31).wall
+    rig.core.context.wall_time = clock_at(rig.now_s + 31).wall
     assert admission.tiers() is None
     # Listing all records anew forgets it until it is read again.
-    rig.core.node.picture.reset()
-    assert rig.core.node.picture.admission is None
+    rig.core.context.cluster_state.reset()
+    assert rig.core.context.cluster_state.admission is None
 
 
 # Answers --------------------------------------------------------------------------------------------------------------
@@ -189,22 +203,22 @@
 
 def test_two_controllers_of_one_generation_give_every_job_the_same_answer() -> None:
     drawn = random.Random(7)
-    cores = [Rig(Operator(admission=True)).core for _ in range(2)]
+    cores = [CoreHarness(OperatorSettings(admission=True)).core for _ in range(2)]
     taken = 0
     for number in range(10_000):
         if number % 100 == 0:
             width, sweep = drawn.choice([(1.0, 0.0), (drawn.random(), drawn.random() / 60)])
-            now = int(cores[0].node.wall.timestamp())
+            now = int(cores[0].context.wall_time.timestamp())
             share = rec.GroupShare("t", SPEC.job_class, 1.0, 2.0, drawn.random(), width, sweep)
             record = rec.AdmissionRecord(number, "shedding", now, now + 30, [share], f"{number:016x}")
             for index, core in enumerate(cores):
                 # What each saw of other jobs, when it looks, and for how long it has lived are not the same.
-                core.node.picture.admission = record
-                core.node.wall = clock(cores[0].node.now.total_seconds() + index * 0.9).wall
-                rig_jobs = core.node.picture.waiting.groups
-                rig_jobs.setdefault(("t", "x"), GroupUse()).jobs = drawn.randrange(5000)
+                core.context.cluster_state.admission = record
+                core.context.wall_time = clock_at(cores[0].context.now.total_seconds() + index * 0.9).wall
+                rig_jobs = core.context.cluster_state.workload.groups
+                rig_jobs.setdefault(("t", "x"), GroupUsage()).jobs = drawn.randrange(5000)
         spec = msgspec.structs.replace(SPEC, id=f"wk-{drawn.randrange(10**9):09d}", team="t")
-        waits = [core.admission.wait_of(spec) for core in cores if core.admission is not None]
+        waits = [core.admission.retry_delay(spec) for core in cores if core.admission is not None]
         assert waits[0] == waits[1]
         assert waits[0] is None or 1 <= waits[0] <= 30
         taken += waits[0] is None
@@ -212,13 +226,13 @@
 
 
 def test_who_comes_back_when_told_is_taken_and_none_of_a_group_within_its_part_is_refused() -> None:
-    assert next_gate(None, Flow(10, 10.0, 5.0, 1.0), 5.0) == (0.0, 1.0, 0.0)
+    assert next_gate(None, JobFlow(10, 10.0, 5.0, 1.0), 5.0) == (0.0, 1.0, 0.0)
     gate = rec.GroupShare("t", "c", 0.0, 0.0, 0.3, 0.999, 1 / 60)
     refused: dict[str, float] = {}
     at, done = 0.0, 0
     for number in range(400):
         # As many come as end: the whole circle is covered within the minute for which users try.
-        begin, width, sweep = next_gate(gate, Flow(100, 50.0, 1.0, 1.0), 5.0)
+        begin, width, sweep = next_gate(gate, JobFlow(100, 50.0, 1.0, 1.0), 5.0)
         gate = rec.GroupShare("t", "c", 0.0, 0.0, begin, width, max(sweep, 1 / 60))
         for job, due in list(refused.items()):
             if due <= at:
@@ -243,7 +257,7 @@
     number, came, most, lost = 0, 0, 0, 0
     for second in range(600):
         if second % 5 == 0:
-            begin, width, sweep = next_gate(gate, Flow(jobs, part, came / 5, 2.0), 5.0)
+            begin, width, sweep = next_gate(gate, JobFlow(jobs, part, came / 5, 2.0), 5.0)
             gate = rec.GroupShare("t", "c", 0.0, 0.0, begin, width, sweep)
             came = 0
         tries = [(float(second), second + 60.0, f"wk-{number + index}") for index in range(10)]
@@ -382,37 +396,39 @@
     assert scenario.oracle.broken == []
 
 
-def admission_rig() -> tuple[Rig, Admission]:
+def admission_rig() -> tuple[CoreHarness, AdmissionControl]:
     """A leader whose team t wants more than its only machine has."""
-    rig = Rig(Operator(admission=True))
+    rig = CoreHarness(OperatorSettings(admission=True))
     core = rig.core
-    rig.put(rec.EPOCH, rec.EpochRecord(2, "n0", {"n0": 7, "n1": 8}, {"m-1": "n0"}))
+    rig.put_record(rec.EPOCH, rec.EpochRecord(2, "n0", {"n0": 7, "n1": 8}, {"m-1": "n0"}))
     rig.revision += 1
-    core.node.picture.apply("g/j/wk-1", None, rig.revision)
+    core.context.cluster_state.apply("g/j/wk-1", None, rig.revision)
     spec = msgspec.structs.replace(SPEC, types=None, zone=None, spot=False, cpus=4.0, gpus=0.0, memory_gb=1.0)
     for number, (job_class, tasks) in enumerate([("x", 200), ("y", 50)]):
-        each = msgspec.structs.replace(spec, id=f"wk-5{number}", job_class=job_class, tasks=tasks, kind=Kind.ARRAY)
-        rig.put(f"g/j/{each.id}", rec.JobRecord(each, int(core.node.wall.timestamp() * 1000)))
-    core.placers.floor.set_types({"g": wire.MachineType("g", 96, 768, 1, 1, 30, ["a"], 8)})
-    core.membership._last_renewal = clock(100_000).steady
+        each = msgspec.structs.replace(spec, id=f"wk-5{number}", job_class=job_class, tasks=tasks, kind=JobKind.ARRAY)
+        rig.put_record(f"g/j/{each.id}", rec.JobRecord(each, int(core.context.wall_time.timestamp() * 1000)))
+    core.scheduler.candidate_cache.set_types({"g": wire.MachineType("g", 96, 768, 1, 1, 30, ["a"], 8)})
+    core.membership._last_renewal_at = clock_at(100_000).monotonic
     assert core.admission is not None
     return rig, core.admission
 
 
-def agree(rig: Rig, status: int, at: float) -> list[Any]:
+def agree(rig: CoreHarness, status: int, at: float) -> list[Any]:
     """A step; each commit is answered so. The admission records that were to be written."""
     core = rig.core
-    core.node.state_ok_at = clock(at).steady
-    core.node.writes.level = core.node.writes.burst
+    core.context.state_served_at = clock_at(at).monotonic
+    core.context.state_writes.tokens = core.context.state_writes.burst
     written: list[Any] = []
-    for call in [effect for effect in core.step(clock(at), []) if isinstance(effect, Call)]:
+    for call in [effect for effect in core.step(clock_at(at), []) if isinstance(effect, OutgoingCall)]:
         if call.path == wire.COMMIT_PATH:
             ops = msgspec.json.decode(call.body or b"").get("apply", [])
             written += [op.get("data") for op in ops if rec.ADMISSION in (op.get("write"), op.get("drop"))]
             rig.revision += 1
             body = {"ledger": rig.revision} if status == 200 else {"error": "too many"}
-            core.step(clock(at), [Answered(call.number, status, msgspec.json.encode(body))])
-            core.node.picture.revision = max(core.node.picture.revision, rig.revision if status == 200 else 0)
+            core.step(clock_at(at), [CallResult(call.call_id, status, msgspec.json.encode(body))])
+            core.context.cluster_state.revision = max(
+                core.context.cluster_state.revision, rig.revision if status == 200 else 0
+            )
     return written
 
 
@@ -437,8 +453,8 @@
     before = admission.record()
     assert before is not None and {each.job_class for each in before.groups} == {"x", "y"}
     # A class that appears in the middle of it has its floor with the next generation.
-    spec = msgspec.structs.replace(rig.core.node.picture.jobs["wk-50"].spec, id="wk-60", job_class="z")
-    rig.put("g/j/wk-60", rec.JobRecord(spec, int(rig.core.node.wall.timestamp() * 1000)))
+    spec = msgspec.structs.replace(rig.core.context.cluster_state.jobs["wk-50"].spec, id="wk-60", job_class="z")
+    rig.put_record("g/j/wk-60", rec.JobRecord(spec, int(rig.core.context.wall_time.timestamp() * 1000)))
     for step in range(1, 16):
         agree(rig, 200, at + 0.5 * step)
     after = admission.record()
@@ -448,12 +464,12 @@
     admission.epoch_changed()
     assert admission._pressed
     # With enough for all it ends.
-    for name in list(rig.core.node.picture.jobs):
+    for name in list(rig.core.context.cluster_state.jobs):
         rig.revision += 1
-        rig.core.node.picture.apply(f"g/j/{name}", None, rig.revision)
+        rig.core.context.cluster_state.apply(f"g/j/{name}", None, rig.revision)
     for step in range(16, 60):
         agree(rig, 200, at + 0.5 * step)
-    assert rig.core.node.picture.admission is None
+    assert rig.core.context.cluster_state.admission is None
 
 
 def test_a_value_holds_the_groups_that_lack_most() -> None:
@@ -468,13 +484,13 @@
     admission._capacity = lambda: (1.0,)  # no such resources: it raises
     for step in range(4):
         agree(rig, 200, 200.0 + step)
-    assert rig.core.node.picture.admission is None
+    assert rig.core.context.cluster_state.admission is None
 
 
 def test_a_gate_opens_again_after_the_flood() -> None:
     gate: rec.GroupShare | None = None
     for jobs, came in [(200, 10.0)] * 20 + [(100, 1.0)] * 3 + [(60, 1.0)] * 30:
-        begin, width, sweep = next_gate(gate, Flow(jobs, 100.0, came, 2.0), 5.0)
+        begin, width, sweep = next_gate(gate, JobFlow(jobs, 100.0, came, 2.0), 5.0)
         if came > 5:
             assert width < 1.0
         gate = rec.GroupShare("t", "c", 0.0, 0.0, begin, width, sweep)
@@ -484,57 +500,69 @@
 def test_operators_see_what_is_agreed() -> None:
     rig, admission = admission_rig()
     assert admission.show().level == "open" and len(admission.show().groups) == 2
-    now = int(rig.core.node.wall.timestamp())
+    now = int(rig.core.context.wall_time.timestamp())
     share = rec.GroupShare("t", "x", 8.0, 16.0, 0.0, 0.5, 0.01)
-    rig.put(rec.ADMISSION, rec.AdmissionRecord(3, "shedding", now, now + 30, [share]))
+    rig.put_record(rec.ADMISSION, rec.AdmissionRecord(3, "shedding", now, now + 30, [share]))
     shown = admission.show()
     assert (shown.level, shown.generation) == ("shedding", 3)
     assert [(each.job_class, each.waiting, each.floor, each.taken) for each in shown.groups] == [
         ("x", 800.0, 8.0, 0.6), ("y", 200.0, None, 1.0),
     ]  # fmt: skip
-    effects = rig.core.step(clock(300), [Asked(1, Verb.ADMISSION)])
+    effects = rig.core.step(clock_at(300), [IncomingRequest(1, RequestKind.ADMISSION)])
     assert [effect.status for effect in effects if isinstance(effect, Reply)] == [200]
-    off = Rig(Operator(admission=False)).core.step(clock(300), [Asked(1, Verb.ADMISSION)])
+    off = CoreHarness(OperatorSettings(admission=False)).core.step(
+        clock_at(300), [IncomingRequest(1, RequestKind.ADMISSION)]
+    )
     assert [effect.status for effect in off if isinstance(effect, Reply)] == [404]
 
 
 def test_a_flood_of_submissions_delays_no_report_and_one_of_polls_no_cancellation() -> None:
-    flood: list[Any] = [Asked(number, Verb.SUBMIT, b"{}") for number in range(100)]
-    polls = [Asked(number, Verb.POLL, b"", "wk-1") for number in range(100, 200)]
-    cancel, report, watched = Asked(200, Verb.CANCEL, b"", "wk-1"), Asked(201, Verb.REPORT), Watched(failed=True)
-    ordered = by_urgency([*flood, watched, *polls, cancel, report])
+    flood: list[Any] = [IncomingRequest(number, RequestKind.SUBMIT, b"{}") for number in range(100)]
+    polls = [IncomingRequest(number, RequestKind.POLL, b"", "wk-1") for number in range(100, 200)]
+    cancel, report, watched = (
+        IncomingRequest(200, RequestKind.CANCEL, b"", "wk-1"),
+        IncomingRequest(201, RequestKind.REPORT),
+        WatchResult(failed=True),
+    )
+    ordered = user_requests_last([*flood, watched, *polls, cancel, report])
     # What controllers and machines say keeps its order: a report after the news of an epoch is judged by that epoch.
     assert ordered[:3] == [watched, report, cancel] and ordered[3:] == [*polls, *flood]
     rig, _ = admission_rig()
-    effects = rig.core.step(clock(210), [*flood, Asked(300, Verb.REPORT, rig.report())])
-    assert next(effect.number for effect in effects if isinstance(effect, Reply)) == 300
+    effects = rig.core.step(clock_at(210), [*flood, IncomingRequest(300, RequestKind.REPORT, rig.report())])
+    assert next(effect.request_id for effect in effects if isinstance(effect, Reply)) == 300
     # Each kind of request has room of its own.
     users = rig.core.users
-    rig.core.node.state_ok_at = clock(220).steady
-    most = int(10 * rig.core.node.cluster.limits.memory_mb)
+    rig.core.context.state_served_at = clock_at(220).monotonic
+    most = int(10 * rig.core.context.cluster.limits.memory_mb)
     for number in range(most):
-        users.desk.open[-number - 1] = None  # type: ignore[assignment]
-        if len(users.desk.open) == int(0.5 * most):
-            assert refused(rig, Verb.SUBMIT) and not refused(rig, Verb.POLL) and not refused(rig, Verb.CANCEL)
-        if len(users.desk.open) == int(0.8 * most):
-            assert refused(rig, Verb.POLL) and not refused(rig, Verb.CANCEL)
-
-
-def refused(rig: Rig, verb: Verb) -> bool:
+        users.pending.open[-number - 1] = None  # type: ignore[assignment]
+        if len(users.pending.open) == int(0.5 * most):
+            assert (
+                refused(rig, RequestKind.SUBMIT)
+                and not refused(rig, RequestKind.POLL)
+                and not refused(rig, RequestKind.CANCEL)
+            )
+        if len(users.pending.open) == int(0.8 * most):
+            assert refused(rig, RequestKind.POLL) and not refused(rig, RequestKind.CANCEL)
+
+
+def refused(rig: CoreHarness, verb: RequestKind) -> bool:
     """Whether a request is refused at once for what waits already."""
-    users, node = rig.core.users, rig.core.node
-    body = msgspec.json.encode({**JOB, "nameId": "wk-900", "owner": "t"}) if verb is Verb.SUBMIT else b""
-    users.asked(Asked(999_999, verb, body, "wk-900"))
-    users.desk.open.pop(999_999, None)
-    replies = [effect for effect in node.take_effects() if isinstance(effect, Reply) and effect.number == 999_999]
+    users, context = rig.core.users, rig.core.context
+    body = msgspec.json.encode({**JOB, "nameId": "wk-900", "owner": "t"}) if verb is RequestKind.SUBMIT else b""
+    users.handle(IncomingRequest(999_999, verb, body, "wk-900"))
+    users.pending.open.pop(999_999, None)
+    replies = [
+        effect for effect in context.take_effects() if isinstance(effect, Reply) and effect.request_id == 999_999
+    ]
     return any(reply.status == 429 and reply.retry_after for reply in replies)
 
 
 def test_the_command_prints_the_same_plain_and_in_machine_form(monkeypatch: pytest.MonkeyPatch) -> None:
     rig, admission = admission_rig()
-    now = int(rig.core.node.wall.timestamp())
+    now = int(rig.core.context.wall_time.timestamp())
     share = rec.GroupShare("t", "x", 8.0, 16.0, 0.0, 0.5, 0.01)
-    rig.put(rec.ADMISSION, rec.AdmissionRecord(3, "shedding", now, now + 30, [share]))
+    rig.put_record(rec.ADMISSION, rec.AdmissionRecord(3, "shedding", now, now + 30, [share]))
     answer = msgspec.json.encode(admission.show())
     monkeypatch.setattr("gladecroft.toolbox.admission.ask", lambda nodes, method, path, body, wait: answer)
     plain = CliRunner().invoke(command, ["show", "--node", "127.0.0.1:1"])
@@ -548,17 +576,17 @@
 
 def test_guarantees_that_are_more_than_there_is_leave_each_class_its_floor() -> None:
     group, other = ("t", "x"), ("t", "y")
-    groups = {group: GroupUse(), other: GroupUse()}
+    groups = {group: GroupUsage(), other: GroupUsage()}
     groups[group].used[0], groups[other].used[0] = 9.0, 1.0
     shares = [rec.GroupShare(*group, 4.0, 8.0), rec.GroupShare(*other, 4.0, 8.0)]
     for scarce, crowded, firm in ((False, {"t"}, True), (True, set(), True), (True, {"t"}, False)):
-        tiers = Tiers(rec.AdmissionRecord(1, "shaping", 0, 10, shares, "", scarce), groups, crowded)
+        tiers = PriorityTiers(rec.AdmissionRecord(1, "shaping", 0, 10, shares, "", scarce), groups, crowded)
         assert tiers.firm(group, True) is firm and not tiers.firm(group, False)
-        tier = tiers.of(group, True)
-        assert tier == (USUAL if firm else LAST)
-        assert (other in tiers.spared(group, True, tier)) is not firm
-        assert tiers.of(other, True) == FIRST
-    held = {group: Held((9.0, 0.0, 0.0), (9.0, 0.0, 0.0)), other: Held((1.0, 0.0, 0.0), (0.0, 0.0, 0.0))}
+        tier = tiers.tier_of(group, True)
+        assert tier == (NORMAL if firm else DEFERRED)
+        assert (other in tiers.protected_groups(group, True, tier)) is not firm
+        assert tiers.tier_of(other, True) == BOOSTED
+    held = {group: GroupDemand((9.0, 0.0, 0.0), (9.0, 0.0, 0.0)), other: GroupDemand((1.0, 0.0, 0.0), (0.0, 0.0, 0.0))}
     assert guarantees_exceed(held, {"t": Team("t", 18.0, 0.0)}, (17.0, 0.0, 0.0))
     assert not guarantees_exceed(held, {"t": Team("t", 18.0, 0.0)}, (18.0, 0.0, 0.0))
 
@@ -566,14 +594,14 @@
 def test_a_class_that_waits_for_its_own_teams_work_does_not_starve_by_others() -> None:
     teams = {"t": Team("t", 20.0, 32.0), "u": Team("u", 20.0, 0.0)}
     held = {
-        ("t", "services"): Held((30.0, 0.0, 0.0), (0.0, 0.0, 0.0)),
-        ("t", "arrays"): Held((0.0, 0.0, 0.0), (80.0, 0.0, 0.0)),
-        ("u", "arrays"): Held((40.0, 0.0, 0.0), (200.0, 0.0, 0.0)),
+        ("t", "services"): GroupDemand((30.0, 0.0, 0.0), (0.0, 0.0, 0.0)),
+        ("t", "arrays"): GroupDemand((0.0, 0.0, 0.0), (80.0, 0.0, 0.0)),
+        ("u", "arrays"): GroupDemand((40.0, 0.0, 0.0), (200.0, 0.0, 0.0)),
     }
     capacity = (100.0, 0.0, 400.0)
     shares = fair_shares(held, teams, capacity)
     assert shares["t", "arrays"].floor > 0
     assert starving(held, shares, capacity, teams) == []
     # With room under the limit it is others that keep it waiting.
-    held["t", "services"] = Held((10.0, 0.0, 0.0), (0.0, 0.0, 0.0))
+    held["t", "services"] = GroupDemand((10.0, 0.0, 0.0), (0.0, 0.0, 0.0))
     assert starving(held, fair_shares(held, teams, capacity), capacity, teams) == [("t", "arrays")]
--- a/tests/test_backlog_cost.py
+++ b/tests/test_backlog_cost.py
@@ -15,17 +15,17 @@
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import TaskRecord, TaskState
 from gladecroft.bookkeeping.teams import Guarantees
-from gladecroft.bookkeeping.transaction import Change
-from gladecroft.coordination.fleet.packing import Plan, Room, Terms
-from gladecroft.coordination.scheduling.pending_queue import Lineup
+from gladecroft.bookkeeping.transaction import TransactionBuilder
+from gladecroft.coordination.fleet.packing import BinPool, PackingConstraints, RentalPlan
+from gladecroft.coordination.scheduling.pending_queue import PendingQueue
 from gladecroft.coordination.scheduling.scheduler import MANY_MOVED
 from gladecroft.coordination.state_writer import Outcome
 from gladecroft.lab.scenario import Scenario
 from gladecroft.lab.simulation import START, seconds
 from gladecroft.protocol.settings import Objective, Team
-from gladecroft.protocol.wire import Kind, MachineType
-from test_epochs import clock
-from test_fencing import SPEC, Rig
+from gladecroft.protocol.wire import JobKind, MachineType
+from test_epochs import clock_at
+from test_fencing import SPEC, CoreHarness
 
 FLEET = """
 nodes 2
@@ -44,7 +44,7 @@
     make room for others."""
     scenario = Scenario(FLEET, 1).run()
     spec = msgspec.structs.replace(
-        SPEC, kind=Kind.ARRAY, tasks=20, types=None, zone=None, spot=False, spread=False, gpus=0.0, estimate_s=900.0
+        SPEC, kind=JobKind.ARRAY, tasks=20, types=None, zone=None, spot=False, spread=False, gpus=0.0, estimate_s=900.0
     )
     accepted = int((START + scenario.world.now).timestamp() * 1000)
     for number in range(waiting):
@@ -65,7 +65,9 @@
         scenario.oracle.submit_sent(name)
     scenario.world.run_until(seconds(30))
     assert scenario.oracle.starts, "nothing runs"
-    assert all(len(each.core.node.picture.queued) >= waiting - 12 for each in scenario.controllers if each.core)
+    assert all(
+        len(each.core.context.cluster_state.queued_jobs) >= waiting - 12 for each in scenario.controllers if each.core
+    )
     calls: Counter[str] = Counter()
 
     def profile(frame: FrameType, event: str, arg: Any) -> None:
@@ -92,62 +94,64 @@
 def test_a_controller_does_no_more_with_ten_thousand_waiting_arrays_than_with_a_hundred() -> None:
     few = calls_in_a_flood(100, [4.0])
     many = calls_in_a_flood(10_000, [4.0])
-    assert many["Placers.place"] >= 20 and many["Lineup._set"] > 0
+    assert many["Scheduler.place"] >= 20 and many["PendingQueue._set"] > 0
     assert many.total() <= 1.1 * few.total(), (many - few).most_common(8)
     # Sizes drawn all differently: those that are no smaller than what has found no room are passed over.
     drawn = random.Random(3)
     mixed = calls_in_a_flood(3_000, [round(drawn.uniform(3, 6), 2) for _ in range(500)])
-    assert mixed["Placers._place_job"] <= 20 * mixed["Placers.place"]
+    assert mixed["Scheduler._place_job"] <= 20 * mixed["Scheduler.place"]
 
 
 def test_the_lineup_is_what_sorting_all_anew_would_give() -> None:
     """Whatever changes, and however time passes: places that are kept must not be stale."""
     for seed in range(12):
         drawn = random.Random(seed)
-        rig = Rig()
+        rig = CoreHarness()
         core = rig.core
-        picture, queue = core.node.picture, core.placers.queue
-        core.node.cluster.objectives = [Objective("finished", 70.0, 0.8, "c"), Objective("wait", 30.0, 0.9, "c")]
-        picture.limits["u"] = Team("u", 6.0, 0.0, 0.0, 0.0)
-        picture.limits["t"] = Team("t", 9.0, 40.0, 0.0, 0.0)
-        lineup = Lineup(picture, queue)
+        cluster_state, ordering = core.context.cluster_state, core.scheduler.ordering
+        core.context.cluster.objectives = [Objective("finished", 70.0, 0.8, "c"), Objective("wait", 30.0, 0.9, "c")]
+        cluster_state.limits["u"] = Team("u", 6.0, 0.0, 0.0, 0.0)
+        cluster_state.limits["t"] = Team("t", 9.0, 40.0, 0.0, 0.0)
+        lineup = PendingQueue(cluster_state, ordering)
         rig.revision += 1
-        picture.apply(rec.job_key("wk-1"), None, rig.revision)
+        cluster_state.apply(rec.job_key("wk-1"), None, rig.revision)
         at = 2000.0
         for number in range(120):
             at += drawn.uniform(0.0, 4.0)
-            core.node.wall = clock(at).wall
-            names = sorted(picture.jobs)
+            core.context.wall_time = clock_at(at).wall
+            names = sorted(cluster_state.jobs)
             name = drawn.choice(names) if len(names) > drawn.randrange(40) else f"wk-{number}"
-            job = picture.jobs.get(name)
+            job = cluster_state.jobs.get(name)
             if job is None:
                 spec = msgspec.structs.replace(
-                    SPEC, id=name, team=drawn.choice("tu"), kind=drawn.choice([Kind.ARRAY, Kind.SERVICE]), gpus=0.0,
-                    tasks=drawn.randint(1, 4), cpus=drawn.choice([1.0, 2.0]), estimate_s=drawn.uniform(1, 60),
+                    SPEC, id=name, team=drawn.choice("tu"), kind=drawn.choice([JobKind.ARRAY, JobKind.SERVICE]),
+                    gpus=0.0, tasks=drawn.randint(1, 4), cpus=drawn.choice([1.0, 2.0]), estimate_s=drawn.uniform(1, 60),
                     job_class=drawn.choice("cd"),
                 )  # fmt: skip
-                accepted = core.node.wall.timestamp() - drawn.uniform(0, 100)
-                rig.put(rec.job_key(name), rec.JobRecord(spec, int(accepted * 1000)))
+                accepted = core.context.wall_time.timestamp() - drawn.uniform(0, 100)
+                rig.put_record(rec.job_key(name), rec.JobRecord(spec, int(accepted * 1000)))
             elif drawn.random() < 0.2:
                 rig.revision += 1
-                picture.apply(rec.job_key(name), None, rig.revision)
+                cluster_state.apply(rec.job_key(name), None, rig.revision)
             else:
                 states = [drawn.choice(list(TaskState)) for _ in range(job.spec.tasks)]
                 rows = [TaskRecord(state, 1, "m-1" if state in (1, 2) else "") for state in states]
-                rig.put(rec.chunk_key(name, 0), rec.ChunkRecord(rows))
-            lineup.refresh(core.node.wall.timestamp())
-            inside = picture.guaranteed()
+                rig.put_record(rec.chunk_key(name, 0), rec.ChunkRecord(rows))
+            lineup.refresh(core.context.wall_time.timestamp())
+            inside = cluster_state.guaranteed_jobs()
             anew = sorted(
-                picture.queued.values(),
+                cluster_state.queued_jobs.values(),
                 key=lambda job: (
-                    (0, False, 0) if queue.overdue(job) else (1, not queue.is_pressing(job, inside), job.rank),
-                    *queue.turn(job)[:2],
+                    (0, False, 0)
+                    if ordering.overdue(job)
+                    else (1, not ordering.is_pressing(job, inside), job.priority_rank),
+                    *ordering.turn(job)[:2],
                     job.id,
                 ),
             )
             assert [job.id for job, _ in lineup.round()] == [job.id for job in anew], (seed, number)
-            assert inside == within(picture.limits, list(picture.jobs.values())), (seed, number)
-            _check_sums(picture)
+            assert inside == within(cluster_state.limits, list(cluster_state.jobs.values())), (seed, number)
+            _check_sums(cluster_state)
 
 
 def within(limits: dict[str, Team], jobs: list[Job]) -> set[str]:
@@ -169,15 +173,17 @@
     return inside
 
 
-def _check_sums(picture: Any) -> None:
-    for team, waits in picture.waiting.teams.items():
-        jobs = [job for job in picture.jobs.values() if job.spec.team == team]
+def _check_sums(cluster_state: Any) -> None:
+    for team, waits in cluster_state.workload.teams.items():
+        jobs = [job for job in cluster_state.jobs.values() if job.spec.team == team]
         queued = [job for job in jobs if job.queued_count]
-        assert waits.jobs == len(queued)
-        assert abs(waits.cpus - sum(job.queued_count * job.spec.cpus for job in queued)) < 1e-6
-        assert waits.sizes == sorted(job.spec.cpus for job in queued)
-        assert waits.services == sum(job.spec.kind is Kind.SERVICE for job in queued)
-        assert waits.weight == sum(bool(job.queued_count) or job.spec.kind is not Kind.SERVICE for job in jobs)
+        assert waits.queued_jobs == len(queued)
+        assert abs(waits.queued_cpus - sum(job.queued_count * job.spec.cpus for job in queued)) < 1e-6
+        assert waits.task_cpus == sorted(job.spec.cpus for job in queued)
+        assert waits.service_jobs == sum(job.spec.kind is JobKind.SERVICE for job in queued)
+        assert waits.changing_jobs == sum(
+            bool(job.queued_count) or job.spec.kind is not JobKind.SERVICE for job in jobs
+        )
 
 
 def test_only_teams_whose_jobs_changed_are_worked_out_anew_and_only_up_to_the_first_that_does_not_fit() -> None:
@@ -193,66 +199,66 @@
     for number in range(1000):
         spec = msgspec.structs.replace(SPEC, id=f"wk-{number}", team="tu"[number % 2], cpus=2.0, gpus=0.0, tasks=1)
         jobs[spec.id] = Job(rec.JobRecord(spec, number), 1, 10)
-        guarantees.note(jobs[spec.id])
-    assert len(guarantees.refresh(jobs)) == 8 and guarantees.crowded == {"t", "u"}
+        guarantees.update(jobs[spec.id])
+    assert len(guarantees.refresh(jobs)) == 8 and guarantees.teams_over == {"t", "u"}
     asked.clear()
-    guarantees.forget(dict.__getitem__(jobs, "wk-0"))
+    guarantees.remove(dict.__getitem__(jobs, "wk-0"))
     assert guarantees.refresh(jobs) == {"wk-0", "wk-8"}
     assert len(asked) == 5
 
 
 def test_a_controller_that_places_nothing_does_not_keep_the_names_of_all_jobs_that_ever_were() -> None:
-    rig = Rig()
+    rig = CoreHarness()
     core = rig.core
-    core.membership.parts.homes["t"] = "n1"
-    picture, placers = core.node.picture, core.placers
+    core.membership.assignment.team_homes["t"] = "n1"
+    cluster_state, scheduler = core.context.cluster_state, core.scheduler
     for number in range(2 * MANY_MOVED):
         name = f"wk-7{number}"
-        rig.put(rec.job_key(name), rec.JobRecord(msgspec.structs.replace(SPEC, id=name), number))
+        rig.put_record(rec.job_key(name), rec.JobRecord(msgspec.structs.replace(SPEC, id=name), number))
         rig.revision += 1
-        picture.apply(rec.job_key(name), None, rig.revision)
+        cluster_state.apply(rec.job_key(name), None, rig.revision)
         if number % 100 == 0:
-            placers.place(Change(picture, 12, 50_000))
-    assert len(picture.requeued) <= MANY_MOVED + 100
-    assert len(picture.waiting._noted) == len(picture.jobs) == 1
+            scheduler.place(TransactionBuilder(cluster_state, 12, 50_000))
+    assert len(cluster_state.dirty_jobs) <= MANY_MOVED + 100
+    assert len(cluster_state.workload._counted) == len(cluster_state.jobs) == 1
 
 
 def test_a_job_without_room_uses_up_nothing_of_its_teams_limit_in_the_fleets_plan() -> None:
     """Else what stands behind a large job of its team is not planned for, and nothing is rented for it."""
     kind = MachineType("g", 16, 64, 1, 1, 30, ["a"], 0)
-    picture = Rig().core.node.picture
-    spec = msgspec.structs.replace(SPEC, types=None, zone=None, spot=False, spread=False, gpus=0.0, kind=Kind.ARRAY)
+    cluster_state = CoreHarness().core.context.cluster_state
+    spec = msgspec.structs.replace(SPEC, types=None, zone=None, spot=False, spread=False, gpus=0.0, kind=JobKind.ARRAY)
 
     def job(name: str, tasks: int, cpus: float, memory: float) -> Job:
         each = msgspec.structs.replace(spec, id=name, tasks=tasks, cpus=cpus, memory_gb=memory)
-        return Job(rec.JobRecord(each, 0), 1, picture.size)
+        return Job(rec.JobRecord(each, 0), 1, cluster_state.chunk_size)
 
-    terms = Terms(
+    terms = PackingConstraints(
         {"g": kind}, lambda spec, name, zone, spot: spec.memory_gb <= 64, lambda job: ({}, 99), lambda team: 100.0
     )
-    plan = Plan(terms, Room([], 1.0), 0.0, 0.0, {})
-    assert not plan.fill(job("wk-1", 20, 4.0, 900.0), True)  # no machine is as large
-    assert plan.fill(job("wk-2", 10, 4.0, 1.0), True)
-    assert plan.want == {("g", "a", False): 3} or plan.want == {("g", "a", True): 3}
+    plan = RentalPlan(terms, BinPool([], 1.0), 0.0, 0.0, {})
+    assert not plan.place(job("wk-1", 20, 4.0, 900.0), True)  # no machine is as large
+    assert plan.place(job("wk-2", 10, 4.0, 1.0), True)
+    assert plan.to_rent == {("g", "a", False): 3} or plan.to_rent == {("g", "a", True): 3}
     # The limit leaves 60 cores to all of the team's jobs together, not to each.
-    assert plan.fill(job("wk-3", 40, 4.0, 1.0), True)
-    assert sum(plan.want.values()) == 7
-    assert not plan.fill(job("wk-4", 1, 4.0, 1.0), True)
+    assert plan.place(job("wk-3", 40, 4.0, 1.0), True)
+    assert sum(plan.to_rent.values()) == 7
+    assert not plan.place(job("wk-4", 1, 4.0, 1.0), True)
 
 
 def test_ends_that_wait_are_looked_at_only_when_something_changed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    rig = Rig()
-    picture, ends = rig.core.node.picture, rig.core.ledger.ends
-    size = picture.size
+    rig = CoreHarness()
+    cluster_state, exit_tracker = rig.core.context.cluster_state, rig.core.state_writer.exit_tracker
+    size = cluster_state.chunk_size
     for name in ("wk-2", "wk-3"):
         spec = msgspec.structs.replace(SPEC, id=name, tasks=size)
-        rig.put(f"g/j/{name}", rec.JobRecord(spec, 0))
-        rig.put(f"g/p/{name}/0", rec.ChunkRecord([TaskRecord(TaskState.ACTIVE, 1, "m-1")] * size))
+        rig.put_record(f"g/j/{name}", rec.JobRecord(spec, 0))
+        rig.put_record(f"g/p/{name}/0", rec.ChunkRecord([TaskRecord(TaskState.ACTIVE, 1, "m-1")] * size))
         for number in range(size):
-            ends.exit(name, number, 1, Outcome(True))
-    monkeypatch.setattr(ends, "left_to_home", lambda job: False)
+            exit_tracker.record_exit(name, number, 1, Outcome(True))
+    monkeypatch.setattr(exit_tracker, "is_recorded_by_home", lambda job: False)
     looked: Counter[str] = Counter()
     task = Job.task
 
@@ -261,21 +267,21 @@
         return task(job, number)
 
     monkeypatch.setattr(Job, "task", counted)
-    first = ends.by_chunk()
-    assert {group: len(gathered.ends) for group, gathered in first.items()} == {("wk-2", 0): size, ("wk-3", 0): size}
+    first = exit_tracker.batches()
+    assert {group: len(gathered.exits) for group, gathered in first.items()} == {("wk-2", 0): size, ("wk-3", 0): size}
     looked.clear()
-    assert ends.by_chunk().keys() == first.keys() and not looked
+    assert exit_tracker.batches().keys() == first.keys() and not looked
     # One more end, then a change of the records: only that job is looked at, and what the records tell is settled.
-    rig.put(
+    rig.put_record(
         "g/p/wk-2/0",
         rec.ChunkRecord([TaskRecord(TaskState.DONE, 1)] * (size - 1) + [TaskRecord(TaskState.ACTIVE, 1, "m-1")]),
     )
-    assert {group: len(gathered.ends) for group, gathered in ends.by_chunk().items()} == {
+    assert {group: len(gathered.exits) for group, gathered in exit_tracker.batches().items()} == {
         ("wk-2", 0): 1,
         ("wk-3", 0): size,
     }
     assert looked["wk-2"] >= size and not looked["wk-3"]
-    assert len(ends.exits) == len(ends.since) == size + 1
+    assert len(exit_tracker.exits) == len(exit_tracker.recorded_at) == size + 1
     # A job that is no more takes its ends along.
-    picture.apply("g/j/wk-3", None, rig.revision + 1)
-    assert set(ends.by_chunk()) == {("wk-2", 0)} and len(ends.exits) == 1
+    cluster_state.apply("g/j/wk-3", None, rig.revision + 1)
+    assert set(exit_tracker.batches()) == {("wk-2", 0)} and len(exit_tracker.exits) == 1
--- a/tests/test_combined_failures.py
+++ b/tests/test_combined_failures.py
@@ -9,13 +9,13 @@
 import pytest
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.coordination.consent import Consent
-from gladecroft.coordination.events import Call, Watched
-from gladecroft.coordination.state_writer.completion import Closing
+from gladecroft.coordination.consent import PeerConsent
+from gladecroft.coordination.events import OutgoingCall, WatchResult
+from gladecroft.coordination.state_writer.completion import CompletionComposer
 from gladecroft.lab.scenario import Scenario
 from gladecroft.protocol import peers
-from test_epochs import clock
-from test_fencing import SPEC, Rig
+from test_epochs import clock_at
+from test_fencing import SPEC, CoreHarness
 
 NODES = (2, 3, 3, 5)
 
@@ -79,7 +79,7 @@
 
 def test_without_its_guards_the_gap_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     # Nobody tells of cancellations, and machines are answered by consent for as long as the outage lasts.
-    monkeypatch.setattr(Consent, "_consent", lambda self, revision: peers.Consented([], True))
+    monkeypatch.setattr(PeerConsent, "_build_reply", lambda self, revision: peers.ConsentReply([], True))
     assert find("ran_cancelled", range(24, 31))
 
 
@@ -229,34 +229,34 @@
 
 
 def test_a_cancelled_job_is_over_only_when_all_that_was_placed_before_is_known(monkeypatch: pytest.MonkeyPatch) -> None:
-    def finals(rig: Rig) -> int:
-        rig.core.node.writes.level = rig.core.node.writes.burst
-        rig.core.node.state_ok_at = rig.core.node.now
-        calls = [effect for effect in rig.core.step(clock(rig.at), []) if isinstance(effect, Call)]
-        rig.at += 0.6
+    def finals(rig: CoreHarness) -> int:
+        rig.core.context.state_writes.tokens = rig.core.context.state_writes.burst
+        rig.core.context.state_served_at = rig.core.context.now
+        calls = [effect for effect in rig.core.step(clock_at(rig.now_s), []) if isinstance(effect, OutgoingCall)]
+        rig.now_s += 0.6
         return sum(b"g/f/wk-1" in (call.body or b"") for call in calls)
 
-    def cancelled_by_this_home() -> Rig:
-        rig = Rig()
-        rig.put(rec.EPOCH, rec.EpochRecord(2, "n0", {"n0": 7, "n1": 8}, {"m-1": "n0"}))
+    def cancelled_by_this_home() -> CoreHarness:
+        rig = CoreHarness()
+        rig.put_record(rec.EPOCH, rec.EpochRecord(2, "n0", {"n0": 7, "n1": 8}, {"m-1": "n0"}))
         # Its own commit tells it of the cancellation at once; the watch has yet to bring what came before: a placement
         # of its own that had got no answer and was carried out late.
         record = rec.JobRecord(SPEC, 0, True)
-        rig.core.node.picture.apply("g/j/wk-1", msgspec.json.encode(record), rig.revision + 2)
+        rig.core.context.cluster_state.apply("g/j/wk-1", msgspec.json.encode(record), rig.revision + 2)
         return rig
 
     rig = cancelled_by_this_home()
     assert sum(finals(rig) for _ in range(5)) == 0
-    rig.core.node.picture.revision = rig.revision + 2
+    rig.core.context.cluster_state.revision = rig.revision + 2
     assert sum(finals(rig) for _ in range(5)) > 0
-    monkeypatch.setattr(Closing, "_cancelled", lambda self, job: job.cancelled)
+    monkeypatch.setattr(CompletionComposer, "_cancellation_settled", lambda self, job: job.cancelled)
     rig = cancelled_by_this_home()
     assert sum(finals(rig) for _ in range(5)) > 0
 
 
 def test_who_loses_the_watch_joins_anew() -> None:
     # In the same epoch an attempt that was told gone could have been started again: nothing is known of it any more.
-    rig = Rig()
-    rig.step([Watched(gap=True)])
+    rig = CoreHarness()
+    rig.step([WatchResult(gap=True)])
     membership = rig.core.membership
-    assert membership.lease is None and membership.incarnation is None and not membership.entitled()
+    assert membership.lease is None and membership.incarnation is None and not membership.is_active()
--- a/tests/test_delayed_writes.py
+++ b/tests/test_delayed_writes.py
@@ -17,15 +17,15 @@
 import pytest
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.cluster_state import Picture
+from gladecroft.bookkeeping.cluster_state import ClusterState
 from gladecroft.bookkeeping.job import Job
-from gladecroft.bookkeeping.transaction import Change
+from gladecroft.bookkeeping.transaction import TransactionBuilder
 from gladecroft.coordination.machines import manager
-from gladecroft.coordination.machines.commands import difference
+from gladecroft.coordination.machines.commands import reconcile
 from gladecroft.coordination.machines.machine import Machine, TaskKey
-from gladecroft.coordination.state_writer.writer import Ledger
+from gladecroft.coordination.state_writer.writer import StateWriter
 from gladecroft.lab.scenario import Scenario
-from gladecroft.protocol.wire import Command, Op
+from gladecroft.protocol.wire import Command, CommandOp
 
 SEEDS = range(10)
 #: Here several seeds find what they are to find.
@@ -50,25 +50,25 @@
 
 def without_epoch(monkeypatch: pytest.MonkeyPatch) -> None:
     """No change of tasks, teams or machines rests on the epoch."""
-    init = Change.__init__
+    init = TransactionBuilder.__init__
 
-    def begun(self: Change, picture: Picture, max_ops: int, max_bytes: int) -> None:
-        init(self, picture, max_ops, max_bytes)
+    def begun(self: TransactionBuilder, cluster_state: ClusterState, max_ops: int, max_bytes: int) -> None:
+        init(self, cluster_state, max_ops, max_bytes)
         del self.conditions[rec.EPOCH]
 
-    monkeypatch.setattr(Change, "__init__", begun)
+    monkeypatch.setattr(TransactionBuilder, "__init__", begun)
 
 
 def _without(monkeypatch: pytest.MonkeyPatch, key_of: Callable[[Job], str]) -> None:
-    set_task = Change.set_task
+    set_task = TransactionBuilder.set_task
 
-    def unconditional(self: Change, job: Job, number: int, record: rec.TaskRecord) -> None:
+    def unconditional(self: TransactionBuilder, job: Job, number: int, record: rec.TaskRecord) -> None:
         required = key_of(job) in self.conditions
         set_task(self, job, number, record)
         if not required:
             self.conditions.pop(key_of(job), None)
 
-    monkeypatch.setattr(Change, "set_task", unconditional)
+    monkeypatch.setattr(TransactionBuilder, "set_task", unconditional)
 
 
 def without_job(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -83,37 +83,37 @@
 
 def without_unsure(monkeypatch: pytest.MonkeyPatch) -> None:
     """After a placement with an unknown outcome the team is not claimed anew."""
-    claimed, compose = Ledger.claimed, Ledger._compose_claims
+    claimed, compose = StateWriter.holds_claim, StateWriter._compose_claims
 
-    def sure(self: Ledger, team: str) -> bool:
-        self.unsure.clear()
+    def sure(self: StateWriter, team: str) -> bool:
+        self.uncertain_teams.clear()
         return claimed(self, team)
 
-    def compose_sure(self: Ledger, change: Change) -> None:
-        self.unsure.clear()
-        compose(self, change)
+    def compose_sure(self: StateWriter, txn: TransactionBuilder) -> None:
+        self.uncertain_teams.clear()
+        compose(self, txn)
 
-    monkeypatch.setattr(Ledger, "claimed", sure)
-    monkeypatch.setattr(Ledger, "_compose_claims", compose_sure)
+    monkeypatch.setattr(StateWriter, "holds_claim", sure)
+    monkeypatch.setattr(StateWriter, "_compose_claims", compose_sure)
 
 
 def without_watch(monkeypatch: pytest.MonkeyPatch) -> None:
     """A claim counts as soon as it is committed, before the watch has brought what was placed until then."""
 
-    def claimed(self: Ledger, team: str) -> bool:
-        own = rec.TeamRecord(self.node.name, self.membership.incarnation or 0)
-        return self.picture.teams.get(team) == own and team not in self.unsure
+    def claimed(self: StateWriter, team: str) -> bool:
+        own = rec.TeamRecord(self.context.name, self.membership.incarnation or 0)
+        return self.cluster_state.team_records.get(team) == own and team not in self.uncertain_teams
 
-    monkeypatch.setattr(Ledger, "claimed", claimed)
+    monkeypatch.setattr(StateWriter, "holds_claim", claimed)
 
 
 def without_look(monkeypatch: pytest.MonkeyPatch) -> None:
     """An owner heeds a cancellation only for what was placed before it. (Told by the version of chunks of one task.)"""
 
     def late(job: Job | None, number: int) -> bool:
-        if job is None or not job.cancelled or job.chunk_length(number // job.size) != 1:
+        if job is None or not job.cancelled or job.chunk_length(number // job.chunk_size) != 1:
             return False
-        return job.versions.get(number // job.size, 0) > job.version
+        return job.versions.get(number // job.chunk_size, 0) > job.version
 
     def heedless(
         machine: Machine,
@@ -121,16 +121,18 @@
         jobs: Mapping[str, Job],
         gone: Callable[[TaskKey, int], bool],
     ) -> tuple[list[Command], list[TaskKey]]:
-        commands, absent = difference(machine, wanted, jobs, gone)
+        commands, absent = reconcile(machine, wanted, jobs, gone)
         keys = [key for key in wanted if late(jobs.get(key[0]), key[1])]
         names = {f"{job}/{number}" for job, number in keys}
         commands = [command for command in commands if command.task not in names]
         commands += [
-            Command(Op.START, f"{key[0]}/{key[1]}", wanted[key].attempt) for key in keys if key not in machine.present
+            Command(CommandOp.START, f"{key[0]}/{key[1]}", wanted[key].attempt)
+            for key in keys
+            if key not in machine.observed
         ]
         return commands, [key for key in absent if key not in keys]
 
-    monkeypatch.setattr(manager, "difference", heedless)
+    monkeypatch.setattr(manager, "reconcile", heedless)
 
 
 # The epoch ---------------------------------------------------------------------------------------------------
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -15,7 +15,7 @@
 from gladecroft.lab.loopback import Lab
 from gladecroft.lab.simulation import raw
 from gladecroft.protocol import wire
-from gladecroft.protocol.settings import Operator
+from gladecroft.protocol.settings import OperatorSettings
 from gladecroft.transport.client import Answer, Client
 
 LIMIT = 60
@@ -36,7 +36,7 @@
     lab = Lab(1, 1, speed=10)
     with anyio.fail_after(LIMIT):
         async with anyio.create_task_group() as group:
-            await lab.start(group, Operator(policies="cordon"))
+            await lab.start(group, OperatorSettings(policies="cordon"))
             platform = lab.doors[0].platform
             port, peer_port = (int(addr.rpartition(":")[2]) for addr in (platform.listen, platform.peer_listen))
             while (await to_node(lab, "GET", "/healthz")).status != 200:
@@ -74,7 +74,7 @@
         ("POST", "/work", raw({**JOB, "portions": 0}), 400),
         ("POST", "/work", raw({**JOB, "owner": "nobody"}), 422),
         ("POST", "/work", raw({**JOB, "cores": 17.0}), 422),
-        ("POST", "/work", b" " * (wire.MAX_BODY + 1), 413),
+        ("POST", "/work", b" " * (wire.MAX_BODY_BYTES + 1), 413),
         ("POST", "/agent/beat", b"{}", 400),
     ):
         answer = await to_node(lab, method, path, body)
--- a/tests/test_epochs.py
+++ b/tests/test_epochs.py
@@ -6,10 +6,10 @@
 
 from gladecroft.bookkeeping import records as rec
 from gladecroft.coordination.core import Core
-from gladecroft.coordination.events import Asked, Clock, Verb, Watched
+from gladecroft.coordination.events import ClockReading, IncomingRequest, RequestKind, WatchResult
 from gladecroft.coordination.membership import fitting
 from gladecroft.protocol import wire
-from gladecroft.protocol.settings import Operator, Platform
+from gladecroft.protocol.settings import OperatorSettings, PlatformSettings
 
 PLATFORM = {
     "label": "n0",
@@ -26,8 +26,8 @@
 }  # fmt: skip
 
 
-def clock(at: float) -> Clock:
-    return Clock(timedelta(seconds=at), datetime(2026, 1, 1, tzinfo=UTC) + timedelta(seconds=at))
+def clock_at(at: float) -> ClockReading:
+    return ClockReading(timedelta(seconds=at), datetime(2026, 1, 1, tzinfo=UTC) + timedelta(seconds=at))
 
 
 def epoch(number: int, owner: str) -> bytes:
@@ -35,21 +35,21 @@
 
 
 def test_a_report_after_the_news_of_an_epoch_is_dated_by_that_epoch() -> None:
-    core = Core(msgspec.convert(PLATFORM, Platform), Operator())
-    core.node.loaded = True
+    core = Core(msgspec.convert(PLATFORM, PlatformSettings), OperatorSettings())
+    core.context.records_loaded = True
     core.membership.lease = core.membership.incarnation = 7
-    core.node.picture.apply(rec.EPOCH, epoch(1, "n1"), 10)
-    core.node.picture.revision = 10
-    core.step(clock(100), [])
-    core.membership.entitled_until = timedelta(seconds=1000)
-    news = wire.WatchReply(11, [wire.LogEntry(11, rec.EPOCH, None, msgspec.Raw(epoch(2, "n0")))])
+    core.context.cluster_state.apply(rec.EPOCH, epoch(1, "n1"), 10)
+    core.context.cluster_state.revision = 10
+    core.step(clock_at(100), [])
+    core.membership.active_until = timedelta(seconds=1000)
+    news = wire.WatchReply(11, [wire.WatchEvent(11, rec.EPOCH, None, msgspec.Raw(epoch(2, "n0")))])
     report = {"hearth": "m-1", "endpoint": "a:1", "flavor": "g", "district": "a", "leftovers": False, "shift": 1,
               "tally": 1, "baton": 0, "warningS": None, "portions": []}  # fmt: skip
-    core.step(clock(200), [Watched(news), Asked(1, Verb.REPORT, msgspec.json.encode(report))])
-    machine = core.keeper.machines["m-1"]
+    core.step(clock_at(200), [WatchResult(news), IncomingRequest(1, RequestKind.REPORT, msgspec.json.encode(report))])
+    machine = core.machine_manager.machines["m-1"]
     # The former owner may have answered until its member lease ended, counted from this epoch, not from the last.
     assert machine.owner_since == timedelta(seconds=200)
-    assert core.keeper.gone_at(machine) > timedelta(seconds=200 + 6 + 18)
+    assert core.machine_manager.lease_expiry(machine) > timedelta(seconds=200 + 6 + 18)
 
 
 def test_an_epoch_holds_as_many_moved_machines_as_a_value_does() -> None:
--- a/tests/test_failure_timing.py
+++ b/tests/test_failure_timing.py
@@ -8,19 +8,19 @@
 import pytest
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.cluster_state import Picture
+from gladecroft.bookkeeping.cluster_state import ClusterState
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import TaskState
-from gladecroft.bookkeeping.transaction import Change
-from gladecroft.coordination.consent import Consent
+from gladecroft.bookkeeping.transaction import TransactionBuilder
+from gladecroft.coordination.consent import PeerConsent
 from gladecroft.coordination.membership import Membership
 from gladecroft.coordination.scheduling import gang_scheduler, scheduler
-from gladecroft.coordination.scheduling.ordering import Queue
-from gladecroft.coordination.state_writer import LOST, Outcome
-from gladecroft.coordination.state_writer.completion import Closing
+from gladecroft.coordination.scheduling.ordering import JobOrdering
+from gladecroft.coordination.state_writer import LOST_NOTE_PREFIX, Outcome
+from gladecroft.coordination.state_writer.completion import CompletionComposer
 from gladecroft.lab.scenario import Scenario
 from gladecroft.protocol import peers, wire
-from test_fencing import Rig
+from test_fencing import CoreHarness
 
 FLEET = """
 set machine.consolidate=false
@@ -65,13 +65,13 @@
 
 
 def test_a_final_state_that_does_not_rest_on_the_job_s_record_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    final = Closing._final
+    final = CompletionComposer._compose_final_record
 
-    def loose(self: Closing, change: Change, job: Job, count: int) -> None:
-        final(self, change, job, count)
-        change.conditions.pop(rec.job_key(job.id), None)
+    def loose(self: CompletionComposer, txn: TransactionBuilder, job: Job, count: int) -> None:
+        final(self, txn, job, count)
+        txn.conditions.pop(rec.job_key(job.id), None)
 
-    monkeypatch.setattr(Closing, "_final", loose)
+    monkeypatch.setattr(CompletionComposer, "_compose_final_record", loose)
     assert found("went_back", at_the_end, range(6))
 
 
@@ -99,7 +99,7 @@
 
 
 def test_without_what_siblings_tell_the_refusal_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Consent, "_consent", lambda self, revision: peers.Consented([], True))
+    monkeypatch.setattr(PeerConsent, "_build_reply", lambda self, revision: peers.ConsentReply([], True))
     assert found("ran_cancelled", at_the_refusal, range(6))
 
 
@@ -183,7 +183,9 @@
 
 def test_without_unbroken_ownership_ten_leaders_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     # Whoever was out meanwhile goes on with what it knew of its machines.
-    monkeypatch.setattr(Membership, "continuous", property(lambda self: True, lambda self, value: None), raising=False)
+    monkeypatch.setattr(
+        Membership, "epoch_continuous", property(lambda self: True, lambda self, value: None), raising=False
+    )
     assert found("ran_twice", ten_leaders, range(24))
 
 
@@ -214,7 +216,7 @@
 
 
 def test_without_a_turn_for_what_has_waited_the_largest_does_not_begin(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Queue, "overdue", lambda self, job: False)
+    monkeypatch.setattr(JobOrdering, "overdue", lambda self, job: False)
     assert found("wk-7777", too_much, range(3))
 
 
@@ -225,23 +227,23 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def offered() -> list[bool]:
-        rig = Rig()
-        picture, floor = rig.core.node.picture, rig.core.placers.floor
-        floor.set_types({"g": wire.MachineType("g", 16.0, 64.0, 1.0, 0.5, 30.0, ["a"])})
-        rig.put(rec.EPOCH, rec.EpochRecord(2, "n1", {"n0": 7, "n1": 8}, {"m-1": "n1"}))
+        rig = CoreHarness()
+        cluster_state, candidate_cache = rig.core.context.cluster_state, rig.core.scheduler.candidate_cache
+        candidate_cache.set_types({"g": wire.MachineType("g", 16.0, 64.0, 1.0, 0.5, 30.0, ["a"])})
+        rig.put_record(rec.EPOCH, rec.EpochRecord(2, "n1", {"n0": 7, "n1": 8}, {"m-1": "n1"}))
         rig.step([])
-        rig.place(TaskState.ACTIVE)
+        rig.place_task(TaskState.ACTIVE)
         # The owner has told that the machine is back; only then comes its word of what was lost there.
-        rig.core.ledger.exit("wk-1", 0, 1, Outcome(False, f"{LOST}m-1"))
+        rig.core.state_writer.record_exit("wk-1", 0, 1, Outcome(False, f"{LOST_NOTE_PREFIX}m-1"))
         seen = []
         for _ in range(40):
             rig.step([])
-            floor.refresh(picture.guaranteed())
-            seen.append("m-1" in floor.slots)
+            candidate_cache.refresh(cluster_state.guaranteed_jobs())
+            seen.append("m-1" in candidate_cache.candidates)
         return seen
 
     seen = offered()
-    lease = Rig().core.node.lease.total_seconds()
+    lease = CoreHarness().core.context.machine_lease.total_seconds()
     assert not any(seen[: int(lease / 0.6) - 2]) and seen[-1]
-    monkeypatch.setattr(Picture, "end_doubts", lambda self, now: None)
+    monkeypatch.setattr(ClusterState, "expire_suspensions", lambda self, now: None)
     assert not any(offered())
--- a/tests/test_fault_attribution.py
+++ b/tests/test_fault_attribution.py
@@ -11,12 +11,12 @@
 from gladecroft.bookkeeping.records import TaskRecord, TaskState
 from gladecroft.coordination.machines.fault_attribution import (
     TRY_MOST,
-    accuses_itself,
+    allowed_extra_starts,
+    is_faulty_job,
     machine_accused,
-    may_start,
-    next_try,
+    retry_backoff,
 )
-from test_fencing import SPEC, Rig
+from test_fencing import SPEC, CoreHarness
 
 
 def test_drawn_mixtures_of_broken_jobs_and_sick_machines() -> None:
@@ -59,21 +59,21 @@
 
 
 def test_a_job_that_fails_on_every_machine_is_tried_one_task_at_a_time_and_never_given_up() -> None:
-    rig = Rig()
+    rig = CoreHarness()
     spec = msgspec.structs.replace(SPEC, id="wk-2", tasks=6)
-    rig.put("g/j/wk-2", rec.JobRecord(spec, 0))
+    rig.put_record("g/j/wk-2", rec.JobRecord(spec, 0))
     failed = [TaskRecord(TaskState.QUEUED, 1, "", 1, f"error m-{number}") for number in range(1, 4)]
     fresh = [TaskRecord()] * 3
-    job = rig.core.node.picture.jobs["wk-2"]
-    rig.put("g/p/wk-2/0", rec.ChunkRecord([*failed[:2], *fresh, TaskRecord()]))
-    assert not accuses_itself(job)
-    rig.put("g/p/wk-2/0", rec.ChunkRecord([*failed, *fresh]))
-    assert accuses_itself(job) and may_start(job, 1000.0) == 1
+    job = rig.core.context.cluster_state.jobs["wk-2"]
+    rig.put_record("g/p/wk-2/0", rec.ChunkRecord([*failed[:2], *fresh, TaskRecord()]))
+    assert not is_faulty_job(job)
+    rig.put_record("g/p/wk-2/0", rec.ChunkRecord([*failed, *fresh]))
+    assert is_faulty_job(job) and allowed_extra_starts(job, 1000.0) == 1
     # One that runs well speaks for the job: as many more may start.
     running = TaskRecord(TaskState.ACTIVE, 1, "m-9", 0, "", 1000)
-    rig.put("g/p/wk-2/0", rec.ChunkRecord([*failed, running, *fresh[:2]]))
-    assert accuses_itself(job) and (may_start(job, 1005.0), may_start(job, 1030.0)) == (0, 1)
-    rig.put("g/p/wk-2/0", rec.ChunkRecord([*failed, TaskRecord(TaskState.DONE, 1), *fresh[:2]]))
-    assert not accuses_itself(job)
-    waits = [next_try(tries) for tries in range(40)]
+    rig.put_record("g/p/wk-2/0", rec.ChunkRecord([*failed, running, *fresh[:2]]))
+    assert is_faulty_job(job) and (allowed_extra_starts(job, 1005.0), allowed_extra_starts(job, 1030.0)) == (0, 1)
+    rig.put_record("g/p/wk-2/0", rec.ChunkRecord([*failed, TaskRecord(TaskState.DONE, 1), *fresh[:2]]))
+    assert not is_faulty_job(job)
+    waits = [retry_backoff(tries) for tries in range(40)]
     assert waits[0] < waits[1] < waits[2] and max(waits) == waits[-1] == TRY_MOST <= timedelta(seconds=64)
--- a/tests/test_job_retention.py
+++ b/tests/test_job_retention.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from gladecroft.coordination.events import Verb
-from gladecroft.coordination.users.handler import Users
+from gladecroft.coordination.events import RequestKind
+from gladecroft.coordination.users.handler import UserRequestHandler
 from gladecroft.lab.oracle import Oracle
 from gladecroft.lab.scenario import Scenario
 
@@ -23,13 +23,13 @@
 
 
 def test_the_oracle_finds_a_job_about_which_no_question_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    answer: Callable[..., Any] = Users._route
+    answer: Callable[..., Any] = UserRequestHandler._route
 
-    def forgets(self: Users, waiting: Any) -> None:
-        if waiting.asked.job != "wk-2" or waiting.asked.verb is not Verb.POLL:
+    def forgets(self: UserRequestHandler, waiting: Any) -> None:
+        if waiting.request.job != "wk-2" or waiting.request.kind is not RequestKind.POLL:
             answer(self, waiting)
 
-    monkeypatch.setattr(Users, "_route", forgets)
+    monkeypatch.setattr(UserRequestHandler, "_route", forgets)
     broken = Scenario(QUIET.format(until=120), 1).run().oracle.broken
     assert [text.split(" at ")[0] for text in broken] == ["forgotten"] and "wk-2" in broken[0]
     monkeypatch.undo()
@@ -41,7 +41,7 @@
     oracle = Oracle({}, {}, 40.0, lambda: now[0])
     for job in ("wk-1", "wk-2"):
         oracle.submit_sent(job)
-        oracle.answered(job, Verb.SUBMIT, 201, b'{"status":"queued"}')
+        oracle.answered(job, RequestKind.SUBMIT, 201, b'{"status":"queued"}')
         oracle.asks(job)
     oracle.cancel_asked("wk-2")
     oracle.trouble(100.0)
@@ -50,7 +50,7 @@
         oracle.sweep()
         assert len(oracle.broken) == broken
     # Said once; and an answer begins the time anew.
-    oracle.answered("wk-1", Verb.POLL, 200, b'{"status":"running"}')
+    oracle.answered("wk-1", RequestKind.POLL, 200, b'{"status":"running"}')
     oracle.asks("wk-1")
     now[0] = 240.0
     oracle.sweep()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -15,7 +15,7 @@
 from gladecroft.lab.loopback import Lab
 from gladecroft.lab.oracle import Oracle
 from gladecroft.lab.scenario import Scenario, ScenarioError
-from gladecroft.protocol.settings import Operator
+from gladecroft.protocol.settings import OperatorSettings
 
 SMALL = "team t cpus=16 max=16\ntype g16 cpus=16 memory=64 boot=5\nup g16\n"
 LIMIT = 90
@@ -77,14 +77,14 @@
 
 
 async def killed() -> None:
-    lab, other, operator = Lab(1, 3, speed=10), Lab(2, 1, speed=10), Operator()
+    lab, other, operator_settings = Lab(1, 3, speed=10), Lab(2, 1, speed=10), OperatorSettings()
     with anyio.fail_after(LIMIT):
         async with anyio.create_task_group() as group:
-            await lab.start(group, operator)
-            await other.start(group, operator)
+            await lab.start(group, operator_settings)
+            await other.start(group, operator_settings)
             await until(lab, 2)
             await until(other, 1)  # two labs at once do not meet
-            name = await lab.kill_one(operator, timedelta(seconds=1))
+            name = await lab.kill_one(operator_settings, timedelta(seconds=1))
             # The state service goes for longer than any lease; what runs meanwhile is the controllers' own affair.
             lab.state.set_outage(True)
             await anyio.sleep(10)
