--- a/tests/test_machine_reachability.py
+++ b/tests/test_machine_reachability.py
@@ -12,68 +12,68 @@
 
 from gladecroft.bookkeeping import records as rec
 from gladecroft.bookkeeping.records import TaskRecord, TaskState
-from gladecroft.coordination.consent import Consent
-from gladecroft.coordination.events import Asked, Verb
+from gladecroft.coordination.consent import PeerConsent
+from gladecroft.coordination.events import IncomingRequest, RequestKind
 from gladecroft.coordination.machines.machine import Machine
-from gladecroft.coordination.machines.misrouted_reports import Visits
+from gladecroft.coordination.machines.misrouted_reports import MisroutedReports
 from gladecroft.coordination.membership import Membership
 from gladecroft.lab.scenario import Scenario
-from test_fencing import Rig
+from test_fencing import CoreHarness
 
 BASE = 1 << 24  # the tokens of epoch 1 begin here
 
 
-def ended(rig: Rig, token: int, session: int, seq: int) -> bytes:
+def ended(rig: CoreHarness, token: int, session: int, seq: int) -> bytes:
     """A report that calls the placed attempt ended."""
-    rig.token, rig.seq = token, seq - 1
+    rig.token, rig.report_number = token, seq - 1
     rig.tasks["wk-1/0"] = {"portion": "wk-1/0", "try": 1, "status": "exited", "cause": "halted"}
     return rig.report().replace(b'"shift":1', b'"shift":%d' % session)
 
 
 def test_an_end_in_a_copy_from_before_this_owner_proves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    def first_report(token: int) -> Rig:
-        rig = Rig()
-        rig.place(TaskState.ACTIVE)
-        rig.step([Asked(1, Verb.REPORT, ended(rig, token, 1, 5))])
+    def first_report(token: int) -> CoreHarness:
+        rig = CoreHarness()
+        rig.place_task(TaskState.ACTIVE)
+        rig.step([IncomingRequest(1, RequestKind.REPORT, ended(rig, token, 1, 5))])
         return rig
 
     # The machine may be in its second session, in which a former owner has started the same attempt again.
-    assert not first_report(BASE - 1).core.ledger.exits
-    assert first_report(BASE).core.ledger.exits
+    assert not first_report(BASE - 1).core.state_writer.exits
+    assert first_report(BASE).core.state_writer.exits
     # The guard is what keeps it from counting.
-    monkeypatch.setattr(Machine, "shows", lambda self, report, now, answer: True)
-    assert first_report(BASE - 1).core.ledger.exits
+    monkeypatch.setattr(Machine, "acknowledges", lambda self, report, now, answer: True)
+    assert first_report(BASE - 1).core.state_writer.exits
 
 
 def test_copies_that_come_one_after_the_other_show_nothing_either() -> None:
-    rig = Rig()
-    rig.place(TaskState.ACTIVE)
+    rig = CoreHarness()
+    rig.place_task(TaskState.ACTIVE)
     for seq in (5, 6, 7):
-        rig.step([Asked(seq, Verb.REPORT, ended(rig, BASE - 1, 1, seq))])
-    machine = rig.core.keeper.machines["m-1"]
-    assert machine.shown_at is None and not rig.core.ledger.exits
-    assert "m-1" not in rig.core.placers.floor.slots
+        rig.step([IncomingRequest(seq, RequestKind.REPORT, ended(rig, BASE - 1, 1, seq))])
+    machine = rig.core.machine_manager.machines["m-1"]
+    assert machine.acked_at is None and not rig.core.state_writer.exits
+    assert "m-1" not in rig.core.scheduler.candidate_cache.candidates
 
 
 def test_a_machine_is_deaf_once_it_shows_nothing_for_a_lease_and_hears_again_when_it_shows() -> None:
-    rig = Rig()
-    lease = rig.core.node.lease.total_seconds()
+    rig = CoreHarness()
+    lease = rig.core.context.machine_lease.total_seconds()
 
     def report(at: float, token: int) -> int:
-        rig.at, rig.token = at - 0.6, token
-        rig.number += 1
-        return rig.step([Asked(rig.number, Verb.REPORT, rig.report())])[0].status
+        rig.now_s, rig.token = at - 0.6, token
+        rig.request_id += 1
+        return rig.step([IncomingRequest(rig.request_id, RequestKind.REPORT, rig.report())])[0].status
 
-    machine = rig.core.keeper.machine("m-1")
-    assert report(110, BASE) == 200 and machine.shown_at is not None
+    machine = rig.core.machine_manager.ensure_machine("m-1")
+    assert report(110, BASE) == 200 and machine.acked_at is not None
     # It comes back as one does that got no answer: asked to show, it does not.
-    assert report(125, BASE) == 200 and machine.asked is not None and not machine.suspect
+    assert report(125, BASE) == 200 and machine.ack_token is not None and not machine.suspect
     assert report(110 + lease + 12, BASE) == 503 and machine.suspect
     # Refused, it comes at once to the next controller and back: so it hears.
     assert report(110 + lease + 14, BASE) == 200 and not machine.suspect
     # One that takes its time but shows the token has heard all along.
-    assert report(200, BASE) == 200 and machine.asked is not None
-    assert report(230, machine.asked) == 200 and machine.asked is None
+    assert report(200, BASE) == 200 and machine.ack_token is not None
+    assert report(230, machine.ack_token) == 200 and machine.ack_token is None
 
 
 DEEDS = (
@@ -172,107 +172,107 @@
 
 
 def test_what_is_done_of_a_large_array_is_not_looked_through() -> None:
-    rig = Rig()
-    size = rig.core.node.picture.size
-    spec = msgspec.structs.replace(rig.core.node.picture.jobs["wk-1"].spec, id="wk-2", tasks=3 * size)
-    rig.put("g/j/wk-2", rec.JobRecord(spec, 0))
+    rig = CoreHarness()
+    size = rig.core.context.cluster_state.chunk_size
+    spec = msgspec.structs.replace(rig.core.context.cluster_state.jobs["wk-1"].spec, id="wk-2", tasks=3 * size)
+    rig.put_record("g/j/wk-2", rec.JobRecord(spec, 0))
     done, waits = TaskRecord(TaskState.DONE, 1), TaskRecord()
-    rig.put("g/p/wk-2/0", rec.ChunkRecord([done] * size))
-    rig.put("g/p/wk-2/1", rec.ChunkRecord([done] * (size - 1) + [waits]))
-    job = rig.core.node.picture.jobs["wk-2"]
-    assert next(iter(job.queued_tasks())) == 2 * size - 1 and len(list(job.queued_tasks())) == size + 1
-    rig.put("g/p/wk-2/0", rec.ChunkRecord([waits] + [done] * (size - 1)))
-    assert next(iter(job.queued_tasks())) == 0
+    rig.put_record("g/p/wk-2/0", rec.ChunkRecord([done] * size))
+    rig.put_record("g/p/wk-2/1", rec.ChunkRecord([done] * (size - 1) + [waits]))
+    job = rig.core.context.cluster_state.jobs["wk-2"]
+    assert next(iter(job.queued_numbers())) == 2 * size - 1 and len(list(job.queued_numbers())) == size + 1
+    rig.put_record("g/p/wk-2/0", rec.ChunkRecord([waits] + [done] * (size - 1)))
+    assert next(iter(job.queued_numbers())) == 0
 
 
 def test_what_is_on_a_machine_that_never_hears_its_new_owner_is_proven_gone(monkeypatch: pytest.MonkeyPatch) -> None:
     def reports() -> bool:
-        rig = Rig()
-        rig.place(TaskState.ACTIVE)
+        rig = CoreHarness()
+        rig.place_task(TaskState.ACTIVE)
         for at in range(110, 260, 15):
-            rig.at, rig.token = at - 0.6, BASE - 1
-            rig.number += 1
-            rig.step([Asked(rig.number, Verb.REPORT, rig.report())])
+            rig.now_s, rig.token = at - 0.6, BASE - 1
+            rig.request_id += 1
+            rig.step([IncomingRequest(rig.request_id, RequestKind.REPORT, rig.report())])
             for _ in range(20):
                 rig.step([])  # 0.6 s each
-        return ("wk-1", 0, 1) in rig.core.ledger.exits
+        return ("wk-1", 0, 1) in rig.core.state_writer.exits
 
     assert reports()
     # Answered for ever, its lease would never have ended.
-    monkeypatch.setattr(Machine, "deaf", lambda self, now, lease: False)
+    monkeypatch.setattr(Machine, "ack_overdue", lambda self, now, lease: False)
     assert not reports()
 
 
 def test_without_asking_the_machine_each_visit_of_a_deaf_one_costs_an_epoch(monkeypatch: pytest.MonkeyPatch) -> None:
     text = (Path(__file__).parent / "scenarios/deaf_from_the_start.txt").read_text(encoding="utf-8")
     assert Scenario(text, 1).run().failures == []
-    monkeypatch.setattr(Visits, "_probe", lambda self, name, addr: self._move(name))
+    monkeypatch.setattr(MisroutedReports, "_probe", lambda self, name, addr: self._request_move(name))
     assert any(failure.startswith("epoch") for failure in Scenario(text, 1).run().failures)
 
 
 def test_a_wish_for_a_machine_outlasts_epochs_that_leave_it_where_it_is() -> None:
-    rig = Rig()
+    rig = CoreHarness()
     membership = rig.core.membership
 
     def epoch(number: int, moved: dict[str, str]) -> None:
-        rig.put(rec.EPOCH, rec.EpochRecord(number, "n1", {"n0": 7, "n1": 8}, moved))
+        rig.put_record(rec.EPOCH, rec.EpochRecord(number, "n1", {"n0": 7, "n1": 8}, moved))
         rig.step([])
 
     epoch(2, {"m-1": "n1", "m-2": "n1"})
-    membership.want_move("m-1")
+    membership.request_move("m-1")
     epoch(3, {"m-1": "n1", "m-2": "n0"})  # another's wish
-    assert list(membership._wanted_moves) == ["m-1"]
+    assert list(membership._move_requests) == ["m-1"]
     epoch(4, {"m-1": "n0", "m-2": "n0"})
-    assert not membership._wanted_moves
+    assert not membership._move_requests
     epoch(5, {"m-1": "n1"})
-    membership.want_move("m-1")
-    rig.at += 10
+    membership.request_move("m-1")
+    rig.now_s += 10
     rig.step([])
     membership._keep_wishes()
-    assert not membership._wanted_moves
+    assert not membership._move_requests
 
 
 def test_a_new_epoch_is_no_break_in_office_but_standing_still_is() -> None:
-    rig = Rig()
+    rig = CoreHarness()
     membership = rig.core.membership
     for _ in range(15):
         rig.step([])  # 0.6 s each
-    assert membership.settled(timedelta(seconds=6))
-    rig.put(rec.EPOCH, rec.EpochRecord(2, "n1", {"n0": 7, "n1": 8}, {"m-1": "n0"}))
-    rig.core.node.picture.revision -= 1  # the watch has not brought it yet
+    assert membership.active_for(timedelta(seconds=6))
+    rig.put_record(rec.EPOCH, rec.EpochRecord(2, "n1", {"n0": 7, "n1": 8}, {"m-1": "n0"}))
+    rig.core.context.cluster_state.revision -= 1  # the watch has not brought it yet
     rig.step([])
-    assert not membership.entitled()
-    rig.core.node.picture.revision += 1
-    rig.at -= 0.5
+    assert not membership.is_active()
+    rig.core.context.cluster_state.revision += 1
+    rig.now_s -= 0.5
     rig.step([])
-    assert membership.settled(timedelta(seconds=6))
-    rig.at += 5  # it stood still
+    assert membership.active_for(timedelta(seconds=6))
+    rig.now_s += 5  # it stood still
     rig.step([])
-    assert not membership.settled(timedelta(seconds=6))
+    assert not membership.active_for(timedelta(seconds=6))
 
 
 def test_who_may_not_act_sends_others_machines_to_their_owners_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Consent, "answers", lambda self: True)
+    monkeypatch.setattr(PeerConsent, "may_answer_machines", lambda self: True)
 
     def played() -> tuple[list[int], int]:
         """The answers to two reports of another's machine in an outage, and how often reports are handled."""
-        rig = Rig()
-        rig.put(rec.EPOCH, rec.EpochRecord(2, "n1", {"n0": 7, "n1": 8}, {"m-1": "n1"}))
+        rig = CoreHarness()
+        rig.put_record(rec.EPOCH, rec.EpochRecord(2, "n1", {"n0": 7, "n1": 8}, {"m-1": "n1"}))
         for _ in range(30):
             rig.step([])
-        rig.core.membership.entitled_until = timedelta()
+        rig.core.membership.active_until = timedelta()
         handled = [0]
-        reported = rig.core.keeper.visits._reported
+        reported = rig.core.machine_manager.misrouted._handle_report
 
-        def counted(asked: Asked) -> None:
+        def counted(request: IncomingRequest) -> None:
             handled[0] += 1
-            reported(asked)
+            reported(request)
 
-        rig.core.keeper.visits._reported = counted
+        rig.core.machine_manager.misrouted._handle_report = counted
         statuses = []
         for number in (5, 6):
-            rig.number, rig.token, rig.seq = number, BASE - 1, number
-            replies = rig.step([Asked(number, Verb.REPORT, rig.report())])
+            rig.request_id, rig.token, rig.report_number = number, BASE - 1, number
+            replies = rig.step([IncomingRequest(number, RequestKind.REPORT, rig.report())])
             for _ in range(10):
                 replies += rig.step([])
             statuses += [reply.status for reply in replies]
@@ -280,7 +280,7 @@
 
     assert played() == ([421, 421], 0)
     # Kept though nothing can be moved, a report is handled anew with every step, and not answered.
-    monkeypatch.setattr(Visits, "visited", _kept_anyway(Visits.visited))
+    monkeypatch.setattr(MisroutedReports, "handle_report", _kept_anyway(MisroutedReports.handle_report))
     statuses, handled = played()
     assert statuses == [421] and handled >= 10
 
@@ -288,10 +288,10 @@
 def _kept_anyway(visited: Any) -> Any:
     """As if the controller might act, as far as keeping a report goes."""
 
-    def kept(self: Visits, asked: Asked, machine: str, owner: str | None, addr: str = "") -> None:
+    def kept(self: MisroutedReports, request: IncomingRequest, machine: str, owner: str | None, addr: str = "") -> None:
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(Membership, "entitled", lambda membership: True)
-            patch.setattr(Membership, "settled", lambda membership, span: False)
-            visited(self, asked, machine, owner, addr)
+            patch.setattr(Membership, "is_active", lambda membership: True)
+            patch.setattr(Membership, "active_for", lambda membership, span: False)
+            visited(self, request, machine, owner, addr)
 
     return kept
--- a/tests/test_machine_report_faults.py
+++ b/tests/test_machine_report_faults.py
@@ -15,20 +15,20 @@
 
 from gladecroft.bookkeeping import records as rec
 from gladecroft.bookkeeping.records import TaskState
-from gladecroft.coordination.events import Answered, Asked, Call, Verb
+from gladecroft.coordination.events import CallResult, IncomingRequest, OutgoingCall, RequestKind
 from gladecroft.coordination.machines import manager as keeper_module
-from gladecroft.coordination.machines.announcer import Heralds
+from gladecroft.coordination.machines.announcer import MachineAnnouncer
 from gladecroft.coordination.machines.machine import Machine, TaskKey
-from gladecroft.coordination.machines.manager import Keeper
+from gladecroft.coordination.machines.manager import MachineManager
 from gladecroft.coordination.membership import Membership
 from gladecroft.lab.growth import Costs, watch_controller
 from gladecroft.lab.scenario import Scenario
 from gladecroft.lab.simulation import seconds
 from gladecroft.lab.user import User
 from gladecroft.protocol import peers, wire
-from gladecroft.protocol.wire import Command, Op, Report
-from test_epochs import clock
-from test_fencing import Rig
+from gladecroft.protocol.wire import Command, CommandOp, Report
+from test_epochs import clock_at
+from test_fencing import CoreHarness
 
 BASE = 1 << 24  # the tokens of epoch 1 begin here
 
@@ -105,10 +105,12 @@
         played(QUICK, seed)
 
     # Known to their owners only, they are asked for once more.
-    def first(heralds: Heralds, machine: Machine, report: Report) -> None:
-        heralds.picture.hear(machine.id, rec.MachineRecord(report.type, report.zone, report.spot, report.addr))
+    def first(heralds: MachineAnnouncer, machine: Machine, report: Report) -> None:
+        heralds.cluster_state.add_reported_machine(
+            machine.id, rec.MachineRecord(report.type, report.zone, report.spot, report.addr)
+        )
 
-    monkeypatch.setattr(Heralds, "first", first)
+    monkeypatch.setattr(MachineAnnouncer, "first", first)
     assert "rentals <= 12" in found(QUICK, 1)
 
 
@@ -154,14 +156,14 @@
         played(copies(seed), seed)
 
 
-def send(rig: Rig, token: int, seq: int) -> int:
-    rig.number += 1
-    rig.token, rig.seq = token, seq - 1
-    (reply,) = rig.step([Asked(rig.number, Verb.REPORT, rig.report())])
+def send(rig: CoreHarness, token: int, seq: int) -> int:
+    rig.request_id += 1
+    rig.token, rig.report_number = token, seq - 1
+    (reply,) = rig.step([IncomingRequest(rig.request_id, RequestKind.REPORT, rig.report())])
     return reply.status
 
 
-def copy(rig: Rig, token: int, seq: int) -> int:
+def copy(rig: CoreHarness, token: int, seq: int) -> int:
     """A report of the machine, with the task that is placed there; the answer's status."""
     rig.tasks["wk-1/0"] = {"portion": "wk-1/0", "try": 1, "status": "running"}
     return send(rig, token, seq)
@@ -169,55 +171,58 @@
 
 def prolonged() -> float:
     """When the task of a dead machine is proven gone, of which copies come every 3 s for ever."""
-    rig = Rig()
-    rig.place(TaskState.ACTIVE)
+    rig = CoreHarness()
+    rig.place_task(TaskState.ACTIVE)
     for seq in range(5, 65):
         copy(rig, BASE - 1, seq)
         for _ in range(4):
             rig.step([])
-        if ("wk-1", 0, 1) in rig.core.ledger.exits:
-            return rig.at - 100
+        if ("wk-1", 0, 1) in rig.core.state_writer.exits:
+            return rig.now_s - 100
     return 1e9
 
 
 def test_copies_prolong_by_a_lease_at_the_most_and_count_as_no_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    lease = Rig().core.node.lease.total_seconds()
+    lease = CoreHarness().core.context.machine_lease.total_seconds()
     assert prolonged() < 2 * lease + 10
-    monkeypatch.setattr(Machine, "deaf", lambda self, now, lease: False)
+    monkeypatch.setattr(Machine, "ack_overdue", lambda self, now, lease: False)
     assert prolonged() > 150
 
 
 def test_a_copy_keeps_no_true_report_out_and_holds_no_proof_up(monkeypatch: pytest.MonkeyPatch) -> None:
     def proven() -> bool:
-        rig = Rig()
-        rig.place(TaskState.ACTIVE)
-        machine = rig.core.keeper.machine("m-1")
+        rig = CoreHarness()
+        rig.place_task(TaskState.ACTIVE)
+        machine = rig.core.machine_manager.ensure_machine("m-1")
         # Older than the task's start: the answer, which goes to nobody, would start it.
         rig.tasks.clear()
-        assert send(rig, BASE - 1, 5) == 200 and machine.shown_at is None and machine.starting
-        assert not rig.core.keeper.heralds._untold.get("n1") and "m-1" not in rig.core.placers.floor.slots
-        assert not rig.core.membership._wanted_moves and not rig.core.ledger.exits
-        rig.place(TaskState.STOPPING)
-        assert send(rig, BASE, 9) == 200 and machine.shown_at is not None
-        return ("wk-1", 0, 1) in rig.core.ledger.exits
+        assert send(rig, BASE - 1, 5) == 200 and machine.acked_at is None and machine.starting
+        assert (
+            not rig.core.machine_manager.announcer._untold.get("n1")
+            and "m-1" not in rig.core.scheduler.candidate_cache.candidates
+        )
+        assert not rig.core.membership._move_requests and not rig.core.state_writer.exits
+        rig.place_task(TaskState.STOPPING)
+        assert send(rig, BASE, 9) == 200 and machine.acked_at is not None
+        return ("wk-1", 0, 1) in rig.core.state_writer.exits
 
     assert proven()
     # A copy whose answer starts something would keep all later reports from proving anything, if it were not cleared.
-    take = Keeper._take
+    take = MachineManager._take
 
-    def holding(keeper: Keeper, machine: Machine, report: Report, answer: bool = False) -> bool:
-        return take(keeper, machine, report, True)
+    def holding(machine_manager: MachineManager, machine: Machine, report: Report, answer: bool = False) -> bool:
+        return take(machine_manager, machine, report, True)
 
-    monkeypatch.setattr(Keeper, "_take", holding)
+    monkeypatch.setattr(MachineManager, "_take", holding)
     assert not proven()
 
 
 def test_a_copy_after_the_true_report_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     def changed() -> set[str]:
-        rig = Rig()
-        rig.place(TaskState.ACTIVE)
+        rig = CoreHarness()
+        rig.place_task(TaskState.ACTIVE)
         assert copy(rig, BASE, 9) == 200
-        machine = rig.core.keeper.machine("m-1")
+        machine = rig.core.machine_manager.ensure_machine("m-1")
         rig.step([])
         before = msgspec.structs.asdict(machine)
         status = copy(rig, BASE - 1, 8)
@@ -225,36 +230,36 @@
         return {name for name in before if before[name] != after[name]} | ({"answered"} if status == 200 else set())
 
     assert changed() == set()
-    take = Keeper._take
+    take = MachineManager._take
 
-    def forgetful(keeper: Keeper, machine: Machine, report: Report, answer: bool = False) -> bool:
+    def forgetful(machine_manager: MachineManager, machine: Machine, report: Report, answer: bool = False) -> bool:
         machine.report = None
-        return take(keeper, machine, report, answer)
+        return take(machine_manager, machine, report, answer)
 
-    monkeypatch.setattr(Keeper, "_take", forgetful)
+    monkeypatch.setattr(MachineManager, "_take", forgetful)
     assert {"answered", "answered_at", "heard_at"} <= changed()
 
 
 def test_copies_of_a_dead_machines_reports_cost_no_epoch() -> None:
     """Two copies, 4 s apart, of a machine that its owner does not hear: it is asked itself whether it hears, and does
     not answer. The second looks like one that was sent to its owner in vain."""
-    rig = Rig()
-    rig.put(rec.EPOCH, rec.EpochRecord(2, "n1", {"n0": 7, "n1": 8}, {"m-1": "n1"}))
+    rig = CoreHarness()
+    rig.put_record(rec.EPOCH, rec.EpochRecord(2, "n1", {"n0": 7, "n1": 8}, {"m-1": "n1"}))
     for _ in range(30):
         rig.step([])
 
     def step(events: list[Any]) -> None:
-        rig.at += 0.1
-        for effect in rig.core.step(clock(rig.at), events):
-            if isinstance(effect, Call) and effect.path == peers.HEARS_PATH:
-                step([Answered(effect.number, 200, wire.encode(peers.Names([])))])
+        rig.now_s += 0.1
+        for effect in rig.core.step(clock_at(rig.now_s), events):
+            if isinstance(effect, OutgoingCall) and effect.path == peers.REPORTING_MACHINES_PATH:
+                step([CallResult(effect.call_id, 200, wire.encode(peers.ReportingMachines([])))])
 
     for seq in (5, 6):
-        rig.number, rig.token, rig.seq = seq, BASE - 1, seq
-        step([Asked(seq, Verb.REPORT, rig.report())])
+        rig.request_id, rig.token, rig.report_number = seq, BASE - 1, seq
+        step([IncomingRequest(seq, RequestKind.REPORT, rig.report())])
         for _ in range(40):
             step([])
-        assert rig.core.membership._wanted_moves == {}, seq
+        assert rig.core.membership._move_requests == {}, seq
 
 
 # Workers reach no controller while direct commands reach them -----------------------------------------------------
@@ -306,14 +311,14 @@
 
 def test_nothing_is_started_in_a_mute_machines_new_session(monkeypatch: pytest.MonkeyPatch) -> None:
     played(MUTE, 2)
-    direct = Keeper._direct
+    direct = MachineManager._direct
 
-    def in_any_session(keeper: Keeper, machine: Machine) -> None:
+    def in_any_session(machine_manager: MachineManager, machine: Machine) -> None:
         if machine.report is not None:
             machine.answered_session = machine.report.session
-        direct(keeper, machine)
+        direct(machine_manager, machine)
 
-    monkeypatch.setattr(Keeper, "_direct", in_any_session)
+    monkeypatch.setattr(MachineManager, "_direct", in_any_session)
     assert "ran_twice" in found(MUTE, 2)
 
 
@@ -321,10 +326,10 @@
 def test_without_waiting_for_the_lease_the_drawn_histories_find_it(
     draw: Callable[[int], str], seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def soon(keeper: Keeper, machine: Machine) -> timedelta:
+    def soon(machine_manager: MachineManager, machine: Machine) -> timedelta:
         return (machine.answered_at or machine.owner_since) + timedelta(seconds=1)
 
-    monkeypatch.setattr(Keeper, "gone_at", soon)
+    monkeypatch.setattr(MachineManager, "lease_expiry", soon)
     assert "ran_twice" in found(draw(seed), seed)
 
 
@@ -432,17 +437,17 @@
 
 def test_without_the_right_to_act_a_cut_zone_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     # Unguarded; the scenarios themselves are played by test_scenarios.
-    monkeypatch.setattr(Membership, "_may_act", Membership.caught_up)
+    monkeypatch.setattr(Membership, "_has_authority", Membership.caught_up)
     assert "ran_twice" in found((HERE / "zone_cut.txt").read_text(encoding="utf-8"), 1)
 
 
 def test_what_ended_while_all_were_away_is_started_anew_by_its_absence(monkeypatch: pytest.MonkeyPatch) -> None:
-    told = keeper_module.difference
+    told = keeper_module.reconcile
 
     def only_in_the_first(machine: Machine, *args: Any) -> tuple[list[Command], list[TaskKey]]:
         commands, absent = told(machine, *args)
         first = machine.report is None or machine.report.session == 1
-        return [command for command in commands if first or command.op is not Op.START], absent
+        return [command for command in commands if first or command.op is not CommandOp.START], absent
 
-    monkeypatch.setattr(keeper_module, "difference", only_in_the_first)
+    monkeypatch.setattr(keeper_module, "reconcile", only_in_the_first)
     assert "left_waiting" in found((HERE / "all_away.txt").read_text(encoding="utf-8"), 1)
--- a/tests/test_oracle.py
+++ b/tests/test_oracle.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 
-from gladecroft.coordination.events import Verb
-from gladecroft.coordination.scheduling import Placers
+from gladecroft.coordination.events import RequestKind
+from gladecroft.coordination.scheduling import Scheduler
 from gladecroft.lab.oracle import Oracle
 from gladecroft.lab.scenario import Scenario
 
@@ -40,13 +40,13 @@
 def test_right_behaviour_breaks_nothing() -> None:
     oracle, _ = make()
     oracle.submit_sent("wk-1")
-    oracle.answered("wk-1", Verb.SUBMIT, 201, answer("queued"))
+    oracle.answered("wk-1", RequestKind.SUBMIT, 201, answer("queued"))
     start(oracle, 0, "m-1")
     start(oracle, 1, "m-2", zone="b")
     for task, machine in ((0, "m-1"), (1, "m-2")):
         oracle.off(("wk-1", task), machine)
         oracle.completed(("wk-1", task))
-    oracle.answered("wk-1", Verb.POLL, 200, answer("done"))
+    oracle.answered("wk-1", RequestKind.POLL, 200, answer("done"))
     oracle.sweep()
     assert oracle.broken == []
 
@@ -95,7 +95,7 @@
     oracle.submit_sent("wk-1")
     oracle.cancel_asked("wk-1")
     start(oracle, 0, "m-1")
-    oracle.answered("wk-1", Verb.CANCEL, 200, answer("aborted"))
+    oracle.answered("wk-1", RequestKind.CANCEL, 200, answer("aborted"))
     time.now = 43.0
     oracle.sweep()
     assert oracle.broken == []
@@ -109,14 +109,14 @@
 def test_forgotten(status: int) -> None:
     oracle, _ = make()
     oracle.submit_sent("wk-1")
-    oracle.answered("wk-1", Verb.SUBMIT, 201, answer("queued"))
-    oracle.answered("wk-1", Verb.POLL, status, b"{}")
+    oracle.answered("wk-1", RequestKind.SUBMIT, 201, answer("queued"))
+    oracle.answered("wk-1", RequestKind.POLL, status, b"{}")
     assert rules(oracle) == ["forgotten"]
 
 
 def test_invented() -> None:
     oracle, _ = make()
-    oracle.answered("wk-1", Verb.POLL, 200, answer("queued"))
+    oracle.answered("wk-1", RequestKind.POLL, 200, answer("queued"))
     assert rules(oracle) == ["invented"]
 
 
@@ -124,7 +124,7 @@
     oracle, _ = make()
     oracle.submit_sent("wk-1")
     oracle.completed(("wk-1", 0))
-    oracle.answered("wk-1", Verb.POLL, 200, answer("done"))
+    oracle.answered("wk-1", RequestKind.POLL, 200, answer("done"))
     assert rules(oracle) == ["not_done"]
 
 
@@ -132,15 +132,15 @@
     oracle, _ = make(portions=1)
     oracle.submit_sent("wk-1")
     oracle.completed(("wk-1", 0))
-    oracle.answered("wk-1", Verb.POLL, 200, answer("done"))
-    oracle.answered("wk-1", Verb.POLL, 200, answer("running"))
+    oracle.answered("wk-1", RequestKind.POLL, 200, answer("done"))
+    oracle.answered("wk-1", RequestKind.POLL, 200, answer("running"))
     assert rules(oracle) == ["went_back"]
 
 
 def test_called_cancelled_though_its_user_did_not_cancel() -> None:
     oracle, _ = make(portions=1)
     oracle.submit_sent("wk-1")
-    oracle.answered("wk-1", Verb.POLL, 200, answer("aborted"))
+    oracle.answered("wk-1", RequestKind.POLL, 200, answer("aborted"))
     assert rules(oracle) == ["went_back"]
 
 
@@ -148,19 +148,19 @@
     oracle, time = make()
     oracle.submit_sent("wk-1")
     time.now = 5.0
-    oracle.answered("wk-1", Verb.SUBMIT, 201, answer("queued"), sent=4.0)
+    oracle.answered("wk-1", RequestKind.SUBMIT, 201, answer("queued"), sent=4.0)
     time.now = 5.2
-    oracle.answered("wk-1", Verb.POLL, 404, b"{}", sent=4.9)
+    oracle.answered("wk-1", RequestKind.POLL, 404, b"{}", sent=4.9)
     assert oracle.broken == []
-    oracle.answered("wk-1", Verb.POLL, 404, b"{}", sent=5.1)
+    oracle.answered("wk-1", RequestKind.POLL, 404, b"{}", sent=5.1)
     assert rules(oracle) == ["forgotten"]
     oracle.cancel_asked("wk-1")
     time.now = 6.0
-    oracle.answered("wk-1", Verb.CANCEL, 200, answer("aborted"), sent=5.5)
+    oracle.answered("wk-1", RequestKind.CANCEL, 200, answer("aborted"), sent=5.5)
     time.now = 6.5
-    oracle.answered("wk-1", Verb.POLL, 200, answer("running"), sent=5.9)
+    oracle.answered("wk-1", RequestKind.POLL, 200, answer("running"), sent=5.9)
     assert rules(oracle) == ["forgotten"] and oracle.told["wk-1"] == "aborted"
-    oracle.answered("wk-1", Verb.POLL, 200, answer("running"), sent=6.1)
+    oracle.answered("wk-1", RequestKind.POLL, 200, answer("running"), sent=6.1)
     assert rules(oracle) == ["forgotten", "went_back"]
 
 
@@ -170,8 +170,8 @@
     oracle.cancel_asked("wk-1")
     oracle.completed(("wk-1", 0))
     time.now = 6.0
-    oracle.answered("wk-1", Verb.CANCEL, 200, answer("aborted"), sent=5.5)
-    oracle.answered("wk-1", Verb.POLL, 200, answer("done"), sent=5.4)
+    oracle.answered("wk-1", RequestKind.CANCEL, 200, answer("aborted"), sent=5.5)
+    oracle.answered("wk-1", RequestKind.POLL, 200, answer("done"), sent=5.4)
     assert rules(oracle) == ["went_back"]
 
 
@@ -180,7 +180,7 @@
     oracle.submit_sent("wk-1")
     oracle.cancel_asked("wk-1")
     start(oracle, 0, "m-1")
-    oracle.answered("wk-1", Verb.CANCEL, 200, answer("aborted"))
+    oracle.answered("wk-1", RequestKind.CANCEL, 200, answer("aborted"))
     time.now = 10.0
     start(oracle, 1, "m-1")
     assert len(oracle.starts_after_cancel) == 1 and oracle.broken == []
@@ -192,16 +192,16 @@
 def test_what_is_impossible_may_not_be_accepted() -> None:
     oracle, _ = make()
     oracle.impossible.add("wk-7")
-    oracle.answered("wk-7", Verb.SUBMIT, 422, b"{}")
+    oracle.answered("wk-7", RequestKind.SUBMIT, 422, b"{}")
     assert oracle.broken == []
-    oracle.answered("wk-7", Verb.SUBMIT, 201, answer("queued"))
+    oracle.answered("wk-7", RequestKind.SUBMIT, 201, answer("queued"))
     assert rules(oracle) == ["took_impossible"]
 
 
 def test_work_that_waits_where_there_is_room_is_found_once_all_troubles_are_over() -> None:
     oracle, time = make()
     oracle.submit_sent("wk-1")
-    oracle.answered("wk-1", Verb.SUBMIT, 201, answer("queued"))
+    oracle.answered("wk-1", RequestKind.SUBMIT, 201, answer("queued"))
     oracle.waiting_with_room = lambda: {"wk-1"}
     oracle.trouble(30.0)
 
@@ -239,12 +239,12 @@
     # wk-1 waits for its team's limit with its last task, wk-3 for a machine that is empty.
     assert Scenario(ROOM, 1).run().oracle.broken == []
     # Nothing of team u is placed: two machines have room for wk-2.
-    place = Placers._place_job
+    place = Scheduler._place_job
 
-    def held_back(self: Placers, change: Any, job: Any, *more: Any) -> int:
+    def held_back(self: Scheduler, change: Any, job: Any, *more: Any) -> int:
         return 0 if job.spec.team == "u" else place(self, change, job, *more)
 
-    monkeypatch.setattr(Placers, "_place_job", held_back)
+    monkeypatch.setattr(Scheduler, "_place_job", held_back)
     broken = Scenario(ROOM, 1).run().oracle.broken
     assert broken and {text.split()[0] for text in broken} == {"left_waiting"}
     assert any("wk-2" in text for text in broken) and not any("wk-1" in text for text in broken)
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -13,19 +13,19 @@
 from gladecroft import policies
 from gladecroft.bookkeeping import records as rec
 from gladecroft.bookkeeping.job import Job
-from gladecroft.bookkeeping.transaction import Change
-from gladecroft.coordination.events import Answered, Asked, Call, Reply, Verb
-from gladecroft.coordination.scheduling.placement import HighPlacer, LowSide, Ranking
+from gladecroft.bookkeeping.transaction import TransactionBuilder
+from gladecroft.coordination.events import CallResult, IncomingRequest, OutgoingCall, Reply, RequestKind
+from gladecroft.coordination.scheduling.placement import HighPriorityPlacer, LowPriorityPlacer, Ranking
 from gladecroft.lab.scenario import Scenario
 from gladecroft.lab.simulation import START, seconds
 from gladecroft.policies.engine import Panel
 from gladecroft.policies.interface import Demand, Drain, Hold, Place, Policy
 from gladecroft.protocol import operators, wire
-from gladecroft.protocol.operators import CordonOrder, Scope
-from gladecroft.protocol.settings import Operator, SettingsError, load_operator
-from test_epochs import clock
-from test_fencing import SPEC, Rig
-from test_placement import need, resident, slot
+from gladecroft.protocol.operators import CordonRequest, CordonScope
+from gladecroft.protocol.settings import OperatorSettings, SettingsError, load_operator
+from test_epochs import clock_at
+from test_fencing import SPEC, CoreHarness
+from test_placement import make_candidate, make_request, make_task
 
 #: The instant of a scenario's beginning, by the wall.
 ZERO = START + seconds(1000)
@@ -130,7 +130,7 @@
     scenario = Scenario(DAY.format(policies="broken"), 3).run()
     assert scenario.oracle.broken == []
     assert scenario.oracle.told["wk-1"] == "done"
-    panels = [each.core.node.panel for each in scenario.controllers if each.core is not None]
+    panels = [each.core.context.panel for each in scenario.controllers if each.core is not None]
     panel = max((each for each in panels if each is not None), key=lambda each: each.dropped["broken"])
     assert panel.dropped["broken"] > 50
     before = panel.dropped["broken"]
@@ -274,105 +274,117 @@
     )
     starts = [Scenario(text.format(names), 3).run().oracle.starts for names in ("", "last")]
     assert [start[0][2] for start in starts] == ["m-000001", "m-000003"]
-    for kind in (HighPlacer, LowSide):
-        fuller, first, second = slot("m-1", resident(1, 4, 2)), slot("m-2"), slot("m-3")
-        fuller.tie, first.tie, second.tie = 9.0, 5.0, 1.0
-        if kind is HighPlacer:
-            fuller.high_cpus = 4.0
-        order = [each.machine for each in Ranking(need(2), [first, second, fuller], kind.rank)]
+    for kind in (HighPriorityPlacer, LowPriorityPlacer):
+        fuller, first, second = make_candidate("m-1", make_task(1, 4, 2)), make_candidate("m-2"), make_candidate("m-3")
+        fuller.tie_breaker, first.tie_breaker, second.tie_breaker = 9.0, 5.0, 1.0
+        if kind is HighPriorityPlacer:
+            fuller.high_priority_cpus = 4.0
+        order = [each.machine for each in Ranking(make_request(2), [first, second, fuller], kind.sort_key)]
         assert order == ["m-1", "m-3", "m-2"]
 
 
 # Cordons --------------------------------------------------------------------------------------------------------
 
 
-def rig() -> Rig:
-    made = Rig(Operator(policies="cordon"))
-    made.core.membership._last_renewal = clock(100_000).steady
-    made.core.node.state_ok_at = clock(100).steady
+def rig() -> CoreHarness:
+    made = CoreHarness(OperatorSettings(policies="cordon"))
+    made.core.membership._last_renewal_at = clock_at(100_000).monotonic
+    made.core.context.state_served_at = clock_at(100).monotonic
     return made
 
 
-def order(made: Rig, number: int, wanted: CordonOrder) -> list[object]:
-    made.at += 0.6
-    return list(made.core.step(clock(made.at), [Asked(number, Verb.CORDON, msgspec.json.encode(wanted))]))
+def order(made: CoreHarness, number: int, wanted: CordonRequest) -> list[object]:
+    made.now_s += 0.6
+    return list(
+        made.core.step(
+            clock_at(made.now_s), [IncomingRequest(number, RequestKind.CHANGE_CORDON, msgspec.json.encode(wanted))]
+        )
+    )
 
 
-def commits(effects: list[object]) -> list[Call]:
-    return [each for each in effects if isinstance(each, Call) and b"g/q/cordon" in (each.body or b"")]
+def commits(effects: list[object]) -> list[OutgoingCall]:
+    return [each for each in effects if isinstance(each, OutgoingCall) and b"g/q/cordon" in (each.body or b"")]
 
 
 def test_an_order_is_answered_after_its_commit_and_read_back_if_the_outcome_is_not_known() -> None:
     made = rig()
-    effects = order(made, 5, CordonOrder(Scope.ZONE, "a", "disks"))
+    effects = order(made, 5, CordonRequest(CordonScope.ZONE, "a", "disks"))
     (commit,) = commits(effects)
     assert b'"g/epoch"' in (commit.body or b"")
     assert not [each for each in effects if isinstance(each, Reply)]
-    effects = list(made.core.step(clock(made.at + 0.1), [Answered(commit.number, 0)]))
-    reads = [each for each in effects if isinstance(each, Call) and each.method == "GET" and "cordon" in each.path]
+    effects = list(made.core.step(clock_at(made.now_s + 0.1), [CallResult(commit.call_id, 0)]))
+    reads = [
+        each for each in effects if isinstance(each, OutgoingCall) and each.method == "GET" and "cordon" in each.path
+    ]
     assert len(reads) == 1 and not [each for each in effects if isinstance(each, Reply)]
     # It was not executed: it is committed anew.
     effects = list(
-        made.core.step(clock(made.at + 0.2), [Answered(reads[0].number, 404, wire.encode(wire.Missing(99)))])
+        made.core.step(
+            clock_at(made.now_s + 0.2), [CallResult(reads[0].call_id, 404, wire.encode(wire.KeyNotFound(99)))]
+        )
     )
-    made.at += 0.5
-    effects += made.core.step(clock(made.at), [])
+    made.now_s += 0.5
+    effects += made.core.step(clock_at(made.now_s), [])
     (commit,) = commits(effects)
     effects = list(
-        made.core.step(clock(made.at + 0.1), [Answered(commit.number, 200, wire.encode(wire.TxnReply(100)))])
+        made.core.step(clock_at(made.now_s + 0.1), [CallResult(commit.call_id, 200, wire.encode(wire.TxnReply(100)))])
     )
     assert [each.status for each in effects if isinstance(each, Reply)] == [200]
-    panel = made.core.node.panel
+    panel = made.core.context.panel
     assert (
         panel is not None and (panel.shut("m-7", ("x", "a", True)) or "") == "cordon: zone a takes nothing new (disks)"
     )
 
 
 def test_orders_that_can_not_be_taken_are_refused_at_once() -> None:
-    def statuses(made: Rig, body: bytes, verb: Verb = Verb.CORDON) -> list[int]:
-        made.at += 0.6
-        effects = made.core.step(clock(made.at), [Asked(9, verb, body)])
+    def statuses(made: CoreHarness, body: bytes, verb: RequestKind = RequestKind.CHANGE_CORDON) -> list[int]:
+        made.now_s += 0.6
+        effects = made.core.step(clock_at(made.now_s), [IncomingRequest(9, verb, body)])
         return [each.status for each in effects if isinstance(each, Reply)]
 
-    good = msgspec.json.encode(CordonOrder(Scope.TYPE, "g"))
+    good = msgspec.json.encode(CordonRequest(CordonScope.TYPE, "g"))
     made = rig()
     assert statuses(made, b'{"scope": "rack", "name": "x"}') == [400]
     assert statuses(made, b'{"scope": "zone", "name": "a", "untill_s": 5}') == [400]
-    assert statuses(made, msgspec.json.encode(CordonOrder(Scope.ZONE, "a", until_s=5))) == [422]
-    assert statuses(made, msgspec.json.encode(CordonOrder(Scope.ZONE, "a", lift=True))) == [404]
-    made.core.membership.entitled_until = clock(0).steady
+    assert statuses(made, msgspec.json.encode(CordonRequest(CordonScope.ZONE, "a", until_s=5))) == [422]
+    assert statuses(made, msgspec.json.encode(CordonRequest(CordonScope.ZONE, "a", lift=True))) == [404]
+    made.core.membership.active_until = clock_at(0).monotonic
     assert statuses(made, good) == [503]
-    assert statuses(Rig(), good) == [404] and statuses(Rig(), b"", Verb.CORDONS) == [404]
+    assert statuses(CoreHarness(), good) == [404] and statuses(CoreHarness(), b"", RequestKind.LIST_CORDONS) == [404]
 
 
 def test_in_an_overload_an_order_waits_but_does_not_starve() -> None:
     made = rig()
-    node = made.core.node
-    puts = made.core.ledger.policy_puts
-    order(made, 5, CordonOrder(Scope.ZONE, "a"))
+    context = made.core.context
+    puts = made.core.state_writer.policy_writes
+    order(made, 5, CordonRequest(CordonScope.ZONE, "a"))
     (put,) = puts.values()
-    change = Change(node.picture, 1, 52_000)
-    made.core.ledger._compose_policies(change, timedelta(seconds=3), 1)
-    assert not change.puts
-    node.now = put.since + timedelta(seconds=3)
-    made.core.ledger._compose_policies(change, timedelta(seconds=3), 1)
-    assert list(change.puts) == list(puts)
+    txn = TransactionBuilder(context.cluster_state, 1, 52_000)
+    made.core.state_writer._compose_policies(txn, timedelta(seconds=3), 1)
+    assert not txn.writes
+    context.now = put.since + timedelta(seconds=3)
+    made.core.state_writer._compose_policies(txn, timedelta(seconds=3), 1)
+    assert list(txn.writes) == list(puts)
 
 
 def test_cordons_are_shown_with_what_they_shut() -> None:
     made = rig()
-    for name, scope in (("a", Scope.ZONE), ("nowhere", Scope.ZONE), ("m-1", Scope.MACHINE)):
+    for name, scope in (("a", CordonScope.ZONE), ("nowhere", CordonScope.ZONE), ("m-1", CordonScope.MACHINE)):
         key = rec.policy_key("cordon", policies.cordon.record_name(scope, name))
-        made.put(key, policies.cordon.CordonRecord(scope, name, "disks", "ana", 5))
-    made.put("g/q/cordon/zone.00", policies.cordon.CordonRecord(Scope.ZONE, "b", until_s=6))  # over by now
-    made.put("g/q/tariff/x", {"of": "a policy that is not switched on"})
-    made.at += 1
-    (reply,) = (each for each in made.core.step(clock(made.at), [Asked(9, Verb.CORDONS)]) if isinstance(each, Reply))
-    shown = wire.decode(operators.Cordons, reply.body).cordons
+        made.put_record(key, policies.cordon.CordonRecord(scope, name, "disks", "ana", 5))
+    made.put_record("g/q/cordon/zone.00", policies.cordon.CordonRecord(CordonScope.ZONE, "b", until_s=6))  # over by now
+    made.put_record("g/q/tariff/x", {"of": "a policy that is not switched on"})
+    made.now_s += 1
+    (reply,) = (
+        each
+        for each in made.core.step(clock_at(made.now_s), [IncomingRequest(9, RequestKind.LIST_CORDONS)])
+        if isinstance(each, Reply)
+    )
+    shown = wire.decode(operators.CordonList, reply.body).cordons
     assert [(each.name, each.machines) for each in shown] == [("m-1", 1), ("a", 1), ("nowhere", 0)]
     # Read from nothing again, the lifted ones are forgotten.
-    made.core.node.picture.reset()
-    panel = made.core.node.panel
+    made.core.context.cluster_state.reset()
+    panel = made.core.context.panel
     assert panel is not None and panel.shut("m-1", ("g", "a", False)) is None
 
 
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -81,7 +81,7 @@
 
 def test_commands_have_the_names_of_the_wire() -> None:
     commands = wire.Commands(
-        41, [wire.Command(wire.Op.STOP, "wk-1/1", 1, 10.0), wire.Command(wire.Op.START, "wk-1/2", 2)]
+        41, [wire.Command(wire.CommandOp.STOP, "wk-1/1", 1, 10.0), wire.Command(wire.CommandOp.START, "wk-1/2", 2)]
     )
     assert msgspec.json.decode(wire.encode(commands)) == {
         "baton": 41,
--- a/tests/test_quota_and_cancellation_faults.py
+++ b/tests/test_quota_and_cancellation_faults.py
@@ -14,19 +14,19 @@
 
 from gladecroft.bookkeeping import records as rec
 from gladecroft.bookkeeping.job import Job
-from gladecroft.coordination.events import Verb
+from gladecroft.coordination.events import RequestKind
 from gladecroft.coordination.machines import manager
 from gladecroft.coordination.machines.machine import Machine
-from gladecroft.coordination.machines.manager import Keeper
+from gladecroft.coordination.machines.manager import MachineManager
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.state_writer import Ledger
-from gladecroft.coordination.state_writer.exits import Ends
-from gladecroft.coordination.users.handler import Users
+from gladecroft.coordination.state_writer import StateWriter
+from gladecroft.coordination.state_writer.exits import ExitTracker
+from gladecroft.coordination.users.handler import UserRequestHandler
 from gladecroft.coordination.users.lookups import Lookups
-from gladecroft.coordination.users.pending import Waiting
+from gladecroft.coordination.users.pending import PendingRequest
 from gladecroft.lab.scenario import Scenario
 from gladecroft.lab.state_service import StateService
-from gladecroft.protocol.wire import Command, Op
+from gladecroft.protocol.wire import Command, CommandOp
 
 Json = dict[str, Any]
 History = Callable[[int], str]
@@ -155,17 +155,17 @@
 def watch_starts(monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """Filled with each start that a controller orders though it knows that the job is cancelled."""
     known: list[str] = []
-    commands = Keeper._commands
+    commands = MachineManager._commands
 
-    def watched(self: Keeper, machine: Machine) -> list[Command]:
+    def watched(self: MachineManager, machine: Machine) -> list[Command]:
         found = commands(self, machine)
         for command in found:
-            job = self.picture.jobs.get(command.task.rpartition("/")[0])
-            if command.op is Op.START and job is not None and job.cancelled:
-                known.append(f"{self.node.name} has {command.task} started on {machine.id}")
+            job = self.cluster_state.jobs.get(command.task.rpartition("/")[0])
+            if command.op is CommandOp.START and job is not None and job.cancelled:
+                known.append(f"{self.context.name} has {command.task} started on {machine.id}")
         return found
 
-    monkeypatch.setattr(Keeper, "_commands", watched)
+    monkeypatch.setattr(MachineManager, "_commands", watched)
     return known
 
 
@@ -184,12 +184,12 @@
 def careless_claims(monkeypatch: pytest.MonkeyPatch) -> None:
     """A home places though it can't know what it placed before, and nothing that it writes rests on that."""
 
-    def claimed(self: Ledger, team: str) -> bool:
-        record = self.picture.teams.get(team)
-        return record is not None and record.home == self.node.name
+    def claimed(self: StateWriter, team: str) -> bool:
+        record = self.cluster_state.team_records.get(team)
+        return record is not None and record.home == self.context.name
 
-    monkeypatch.setattr(Ledger, "claimed", claimed)
-    monkeypatch.setattr(Ledger, "_read_stale", lambda self: self._stale.clear())
+    monkeypatch.setattr(StateWriter, "holds_claim", claimed)
+    monkeypatch.setattr(StateWriter, "_read_stale", lambda self: self._stale.clear())
     unconditional(monkeypatch, rec.CHUNKS)
     unconditional(monkeypatch, rec.TEAMS)
 
@@ -202,54 +202,56 @@
 def careless_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     """What the picture tells is told without asking whether it is so still."""
 
-    def tell(self: Users) -> None:
-        confirm, self._confirm = self._confirm, {}
-        for waiting in [waiting for group in confirm.values() for waiting in group if self.desk.alive(waiting)]:
-            if not self._tell_known(waiting):
-                self._lookups.read(waiting)
+    def tell(self: UserRequestHandler) -> None:
+        confirm, self._to_confirm = self._to_confirm, {}
+        for waiting in [waiting for group in confirm.values() for waiting in group if self.pending.is_open(waiting)]:
+            if not self._reply_from_cache(waiting):
+                self._lookups.look_up(waiting)
 
-    monkeypatch.setattr(Users, "_flush_confirm", tell)
+    monkeypatch.setattr(UserRequestHandler, "_flush_confirm", tell)
 
 
 def careless_denials(monkeypatch: pytest.MonkeyPatch) -> None:
     """A job that the picture lacks is called unknown without reading."""
-    read = Lookups.read
+    read = Lookups.look_up
 
-    def deny(self: Lookups, waiting: Waiting) -> None:
-        if waiting.asked.verb is Verb.POLL:
+    def deny(self: Lookups, waiting: PendingRequest) -> None:
+        if waiting.request.kind is RequestKind.POLL:
             self._found(waiting, False)
         else:
             read(self, waiting)
 
-    monkeypatch.setattr(Lookups, "read", deny)
+    monkeypatch.setattr(Lookups, "look_up", deny)
 
 
 def cancelled_is_over(monkeypatch: pytest.MonkeyPatch) -> None:
     """What is cancelled counts no more, though its tasks may still run."""
-    monkeypatch.setattr(Job, "over", property(lambda self: self.done == self.spec.tasks or self.cancelled))
+    monkeypatch.setattr(Job, "finished", property(lambda self: self.done_count == self.spec.tasks or self.cancelled))
 
 
 def homes_untold(monkeypatch: pytest.MonkeyPatch) -> None:
     """Owners keep to themselves what has ended."""
-    monkeypatch.setattr(Ends, "tell", lambda self: None)
-    monkeypatch.setattr(Ends, "compose_mail", lambda self, change, puts: None)
+    monkeypatch.setattr(ExitTracker, "notify_homes", lambda self: None)
+    monkeypatch.setattr(ExitTracker, "compose_mail", lambda self, change, puts: None)
 
 
 def silence_is_proof(monkeypatch: pytest.MonkeyPatch) -> None:
     """What is silent counts as gone, whoever may have prolonged its lease."""
-    monkeypatch.setattr(Keeper, "gone_at", lambda self, machine: machine.answered_at or machine.owner_since)
+    monkeypatch.setattr(
+        MachineManager, "lease_expiry", lambda self, machine: machine.answered_at or machine.owner_since
+    )
 
 
 def right_without_end(monkeypatch: pytest.MonkeyPatch) -> None:
     """A controller acts for as long as it knows of no epoch without it."""
 
     def entitled(self: Membership) -> bool:
-        epoch = self.picture.epoch
+        epoch = self.cluster_state.epoch
         return self.incarnation is not None and epoch is not None and (
-            epoch.members.get(self.node.name) == self.incarnation
+            epoch.members.get(self.context.name) == self.incarnation
         )  # fmt: skip
 
-    monkeypatch.setattr(Membership, "entitled", entitled)
+    monkeypatch.setattr(Membership, "is_active", entitled)
 
 
 class Uncancelled:
@@ -263,13 +265,13 @@
 
 def cancellation_unseen(monkeypatch: pytest.MonkeyPatch) -> None:
     """Machines are told what the records place there, whether its job is cancelled or not."""
-    difference = manager.difference
+    difference = manager.reconcile
 
     def blind(machine: Machine, wanted: Any, jobs: dict[str, Job], gone: Any) -> Any:
         seen: Any = {name: Uncancelled(jobs[name]) for name, _ in wanted if name in jobs}
         return difference(machine, wanted, seen, gone)
 
-    monkeypatch.setattr(manager, "difference", blind)
+    monkeypatch.setattr(manager, "reconcile", blind)
 
 
 def play(history: History, seed: int) -> list[str]:
