--- a/src/gladecroft/__init__.py
+++ b/src/gladecroft/__init__.py
@@ -1,3 +1,3 @@
-"""gladecroft: a cluster scheduler on the design of CoSpot."""
+"""gladecroft, a cluster scheduler based on the design of CoSpot."""
 
 __version__ = "0.1.0"
--- a/src/gladecroft/bookkeeping/__init__.py
+++ b/src/gladecroft/bookkeeping/__init__.py
@@ -1,1 +1,1 @@
-"""Records in the state service: their form, the picture built from them, the changes made to them."""
+"""State kept in the state service: record types, their in-memory copy, and transactions on them."""
--- a/src/gladecroft/bookkeeping/cluster_state.py
+++ b/src/gladecroft/bookkeeping/cluster_state.py
@@ -1,6 +1,6 @@
-"""The picture of the state service that a controller keeps in memory.
+"""A controller's in-memory copy of the records in the state service.
 
-It is fed from a listing, the watch and the controller's own commits, in any order: a change counts only if its
+Updates come from listings, the watch and the controller's own commits, in any order. An update is applied only if its
 revision is above the one known for its key.
 """
 
@@ -14,7 +14,7 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.job import EMPTY, Job, TaskKey
+from gladecroft.bookkeeping.job import NEW_TASK, Job, TaskKey
 from gladecroft.bookkeeping.teams import Guarantees, TeamUsage, infeasible_reason
 from gladecroft.bookkeeping.versions import KeyVersions
 from gladecroft.bookkeeping.workload import Workload
@@ -23,20 +23,26 @@
 
 log = logging.getLogger(__name__)
 
-#: Final states kept in memory; older ones are read from the store when asked for.
-FINALS_KEPT = 5_000
-#: Stands for the rank of work where there is none: below every priority.
+#: Final records kept in memory; older ones are read from the state service on demand.
+MAX_CACHED_FINALS = 5_000
+#: Rank where there is no task: less important than every priority.
 NO_RANK = 1 << 30
 
 
 class ClusterState:
+    """Jobs, tasks, machines, teams and members as recorded, with indexes over them.
+
+    It also holds what this controller knows ahead of the records: machines that have only reported, attempts that have
+    ended, and machines on which placement is suspended.
+    """
+
     def __init__(self, teams: list[Team], value_kb: float) -> None:
         self.limits = {team.name: team for team in teams}
-        self.chunk_size = rec.chunk_size(value_kb)
+        self.chunk_size = rec.tasks_per_chunk(value_kb)
         self.max_value_bytes = int(value_kb * 1024)
-        #: Machines without a record, known because they have reported to their owner. They outlast a new listing.
+        #: Machines without a record, known because they have reported to their owner. A reset keeps them.
         self.reported_machines: dict[str, rec.MachineRecord] = {}
-        #: Told of each change of a policy's record (subject, name, value), and before all are listed anew.
+        #: Called for each update of a policy record (subject, name, value), and before a new listing.
         self.on_policy_change: Callable[[str, str, bytes | None], None] | None = None
         self.on_policy_reset: Callable[[], None] | None = None
         self._team_names = {rec.team_key(team.name): team.name for team in teams}
@@ -44,7 +50,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forget everything, to be listed again."""
+        """Discard everything but the reported machines, before a new listing."""
         if self.on_policy_reset is not None:
             self.on_policy_reset()
         self.revision = 0
@@ -55,75 +61,77 @@
         self.final_records: OrderedDict[str, rec.FinalRecord] = OrderedDict()
         self.team_records: dict[str, rec.TeamRecord] = {}
         self.machines: dict[str, rec.MachineRecord] = dict(self.reported_machines)
-        #: What controllers that can't reach each other have to say.
+        #: Messages of controllers for others that they can't reach, by sender.
         self.outboxes: dict[str, rec.OutboxRecord] = {}
-        #: What the leader has decided for all in an overload.
+        #: The leader's decision on admission in an overload.
         self.admission: rec.AdmissionRecord | None = None
-        #: The machines among them that are not simply up.
+        #: Machines whose use is not UP.
         self.restricted_machines: dict[str, rec.MachineUse] = {}
-        #: The few of them on or towards which somebody must act each round: those that leave, are bad or are emptied.
+        #: Machines whose tasks are to be stopped or moved; few, and evaluated in every round.
         self.evacuating_machines: dict[str, rec.MachineUse] = {}
-        #: What the records place on each machine.
+        #: Tasks that the records place on each machine.
         self.tasks_by_machine: dict[str, dict[TaskKey, rec.TaskRecord]] = {}
-        #: Machines whose wanted tasks changed since the owner last looked, and the same for the placers.
+        #: Machines whose tasks changed since the owner's last evaluation.
         self.dirty_for_owner: set[str] = set()
+        #: Machines that changed since the scheduler's last evaluation.
         self.dirty_for_placement: set[str] = set()
-        #: Counts every change taken in.
+        #: Number of updates applied.
         self.change_count = 0
-        #: Jobs with tasks that wait, jobs that are over, gangs: so that nobody has to look through all jobs.
+        #: Indexes that save scanning all jobs: those with queued tasks, finished ones, gangs.
         self.queued_jobs: dict[str, Job] = {}
         self.finished_jobs: dict[str, Job] = {}
         self.gang_jobs: dict[str, Job] = {}
+        #: Number of unfinished gangs of each team.
         self.gang_count_by_team: dict[str, int] = {}
         self._guarantees = Guarantees(self.limits)
-        #: Sums over what is unfinished.
+        #: Totals over the unfinished jobs.
         self.workload = Workload()
-        #: Jobs of which the order of waiting work has not taken notice yet; counts how often all began anew.
+        #: Jobs that changed since they were last sorted into the queue.
         self.dirty_jobs: set[str] = set()
-        #: The chunks (a job's name, the chunk's number) that changed since the ends known ahead of the records were
-        #: last looked at; of jobs that are no more, any.
+        #: Chunks (job id, index) that changed since the unrecorded exits were last checked; for a removed job, index 0.
         self.changed_chunks: set[tuple[str, int]] = set()
         self.reset_count += 1
-        #: Attempts that this controller knows to have ended, though the records don't say so yet. They take no room.
+        #: Attempts that have ended although the records still place them. Their resources count as free.
         self.unrecorded_exits: dict[TaskKey, int] = {}
-        #: Machines that have lost their work and of which no record or owner has said anything since; by the steady
-        #: clock, until when that holds them back.
+        #: Machines that have lost their tasks and have not been confirmed since by a record or their owner: the time of
+        #: the monotonic clock until which nothing is placed on them.
         self.placement_suspended: dict[str, timedelta] = {}
-        self._used: dict[str, tuple[float, float, float]] = {}
-        #: The rank of the highest priority on each machine for which the use is known.
+        self._used_by_machine: dict[str, tuple[float, float, float]] = {}
+        #: The rank of the highest priority on each machine in ``_used_by_machine``.
         self._top_rank: dict[str, int] = {}
-        self._team_use = TeamUsage()
+        self._team_usage = TeamUsage()
         self._versions = KeyVersions()
+        #: Chunks whose job is not known: not yet, or not any more.
         self._orphans: dict[str, dict[int, tuple[list[rec.TaskRecord], int]]] = {}
 
     def version(self, key: str) -> int:
-        """The revision of the key's last change as far as known; 0 if the key does not exist."""
-        return self._versions.of(key)
+        """The last known version of the key; 0 if it does not exist."""
+        return self._versions.get(key)
 
     def apply(self, key: str, value: bytes | msgspec.Raw | None, version: int) -> bool:
-        """Take in one change; False if it was no news."""
-        if not self._versions.take(key, version, value is not None):
+        """Apply one update; False if it was not newer than what is known."""
+        if not self._versions.advance(key, version, value is not None):
             return False
         self.change_count += 1
         try:
-            self._take(key, None if value is None else bytes(value), version)
+            self._apply_record(key, None if value is None else bytes(value), version)
         except (msgspec.DecodeError, ValueError, IndexError) as error:
             log.error("record %s at %d can't be read: %s", key, version, error)
         return True
 
-    def _take(self, key: str, value: bytes | None, version: int) -> None:
+    def _apply_record(self, key: str, value: bytes | None, version: int) -> None:
         kind, name = key[:4], key[4:]
         if kind == rec.CHUNKS:
             job, _, index = name.rpartition("/")
             chunk = None if value is None else decode(rec.ChunkRecord, value).tasks
-            self._take_chunk(job, int(index), chunk, version)
+            self._apply_chunk(job, int(index), chunk, version)
         elif kind == rec.JOBS:
-            self._take_job(name, None if value is None else decode(rec.JobRecord, value), version)
+            self._apply_job(name, None if value is None else decode(rec.JobRecord, value), version)
         elif kind == rec.FINALS:
             if value is not None:
-                self._forget_job(name)
+                self._remove_job(name)
                 self.add_final(name, decode(rec.FinalRecord, value))
-            self._versions.forget(key)  # final records never change; no need to know their revision
+            self._versions.discard(key)  # final records never change, so the version is not needed
         elif kind == rec.TEAMS:
             team = self._team_names.get(key)
             if team is not None:
@@ -139,11 +147,11 @@
                 machine = self.machines[name] = decode(rec.MachineRecord, value)
                 if machine.use is not rec.MachineUse.UP:
                     self.restricted_machines[name] = machine.use
-                if machine.use in rec.CLEARING:
+                if machine.use in rec.EVACUATED_USES:
                     self.evacuating_machines[name] = machine.use
             self.dirty_for_owner.add(name)
             self.dirty_for_placement.add(name)
-        elif kind == rec.MAIL:
+        elif kind == rec.OUTBOXES:
             if value is None:
                 self.outboxes.pop(name, None)
             else:
@@ -155,8 +163,8 @@
                 self.members[name] = decode(rec.MemberRecord, value)
         elif kind == rec.POLICIES:
             if self.on_policy_change is not None:
-                subject, _, each = name.partition("/")
-                self.on_policy_change(subject, each, value)
+                subject, _, policy_key = name.partition("/")
+                self.on_policy_change(subject, policy_key, value)
         elif key == rec.ADMISSION:
             self.admission = None if value is None else decode(rec.AdmissionRecord, value)
         elif key == rec.EPOCH:
@@ -164,25 +172,27 @@
             self.epoch_version = version
 
     def suspend_placement(self, names: Iterable[str], until: timedelta) -> None:
-        """Place nothing on some machines until then, unless a record or their owner tells of them before.
+        """Suspend placement on machines until the given time, or until a record or their owner confirms them.
 
-        It ends by itself: what an owner has told of a machine that is back may have come before the word of what was
-        lost on it, and nothing more ever comes. Held back for good, it kept a service waiting for as long as it ran.
+        The time limit is needed: the owner's message about a machine that is back may arrive before the message about
+        its lost tasks, and is not repeated. Without the limit, placement there was suspended for good, and a service
+        that needed the machine stayed queued as long.
         """
         for name in names:
             self.placement_suspended[name] = until
             self.dirty_for_placement.add(name)
 
     def expire_suspensions(self, now: timedelta) -> None:
+        """Resume placement on machines whose suspension has expired."""
         for name in [name for name, until in self.placement_suspended.items() if now >= until]:
             del self.placement_suspended[name]
             self.dirty_for_placement.add(name)
 
     def add_reported_machine(self, name: str, record: rec.MachineRecord) -> None:
-        """Take in a machine that has reported somewhere.
+        """Add a machine that has reported to some controller.
 
-        A machine that is simply up needs no record: its owner tells the others of it. A record is written when there is
-        more to say, and counts before what was heard.
+        A machine that is up needs no record, since its owner announces it to the other controllers. A record is
+        written when there is more to say, and takes precedence over reports.
         """
         if self.placement_suspended.pop(name, None) is not None:
             self.dirty_for_placement.add(name)
@@ -192,27 +202,28 @@
             self.dirty_for_placement.add(name)
 
     def remove_machine(self, name: str) -> None:
-        """A machine without a record was returned: late reports and late words of it count no more."""
+        """Remove a returned machine. If it has no record, a tombstone makes late reports of it ineffective."""
         if self.reported_machines.pop(name, None) is not None:
             self.machines.pop(name, None)
-            self._versions.bury(rec.machine_key(name), self.revision)
+            self._versions.add_tombstone(rec.machine_key(name), self.revision)
         self.placement_suspended.pop(name, None)
         self.dirty_for_owner.add(name)
         self.dirty_for_placement.add(name)
 
     def was_returned(self, machine: str) -> bool:
-        """Whether the machine was returned, as far as this controller remembers."""
-        return self._versions.buried(rec.machine_key(machine))
+        """Whether the machine was returned, as far as the tombstones reach back."""
+        return self._versions.has_tombstone(rec.machine_key(machine))
 
     def add_final(self, job: str, final: rec.FinalRecord) -> None:
+        """Cache a final record; the oldest one is dropped when there are too many."""
         self.final_records[job] = final
         self.final_records.move_to_end(job)
-        if len(self.final_records) > FINALS_KEPT:
+        if len(self.final_records) > MAX_CACHED_FINALS:
             self.final_records.popitem(last=False)
 
-    def _take_job(self, name: str, record: rec.JobRecord | None, version: int) -> None:
+    def _apply_job(self, name: str, record: rec.JobRecord | None, version: int) -> None:
         if record is None:
-            self._forget_job(name)
+            self._remove_job(name)
             return
         job = self.jobs.get(name)
         if job is None:
@@ -221,7 +232,7 @@
                 self.gang_jobs[name] = job
                 self.gang_count_by_team[job.spec.team] = self.gang_count_by_team.get(job.spec.team, 0) + 1
             for index, (chunk, chunk_version) in self._orphans.pop(name, {}).items():
-                self._take_chunk(name, index, chunk, chunk_version)
+                self._apply_chunk(name, index, chunk, chunk_version)
         else:
             was_cancelled = job.cancelled
             job.record, job.version = record, version
@@ -230,12 +241,12 @@
                 self.dirty_for_owner.update(machines)
                 self.dirty_for_placement.update(machines)
         self._guarantees.update(job)
-        self._sort_in(job)
+        self._update_job_indexes(job)
 
-    def _sort_in(self, job: Job) -> None:
-        """Keep the lists of waiting and of finished jobs."""
+    def _update_job_indexes(self, job: Job) -> None:
+        """Update the indexes and totals that depend on the states of the job's tasks."""
         self.dirty_jobs.add(job.id)
-        self.workload.note(job)
+        self.workload.update(job)
         if job.queued_count:
             self.queued_jobs[job.id] = job
         else:
@@ -245,92 +256,95 @@
         else:
             self.finished_jobs.pop(job.id, None)
 
-    def _forget_job(self, name: str) -> None:
+    def _remove_job(self, name: str) -> None:
         job = self.jobs.pop(name, None)
         if job is None:
             return
         self.dirty_jobs.add(name)
         self.changed_chunks.add((name, 0))
-        self.workload.forget(job)
+        self.workload.remove(job)
         self._guarantees.remove(job)
         if name in self.gang_jobs:
             self.gang_count_by_team[job.spec.team] -= 1
         for jobs in (self.queued_jobs, self.finished_jobs, self.gang_jobs):
             jobs.pop(name, None)
-        self._team_use.count(job.spec, -job.placed_count)
+        self._team_usage.add(job.spec, -job.placed_count)
         for number, task in job.placed_tasks():
-            self._lift(name, number, task.machine)
+            self._remove_placement(name, number, task.machine)
         if job.chunks:
-            # They go in the same transaction or, if there are too many, in later ones.
+            # The chunks are deleted in the same transaction or, if there are too many, in later ones.
             self._orphans[name] = {index: (chunk, job.versions[index]) for index, chunk in job.chunks.items()}
 
-    def _take_chunk(self, name: str, index: int, chunk: list[rec.TaskRecord] | None, version: int) -> None:
+    def _apply_chunk(self, name: str, index: int, chunk: list[rec.TaskRecord] | None, version: int) -> None:
         job = self.jobs.get(name)
         if job is None:
             if chunk is not None:
                 self._orphans.setdefault(name, {})[index] = (chunk, version)
             else:
-                left = self._orphans.get(name, {})
-                left.pop(index, None)
-                if not left:
+                chunks = self._orphans.get(name, {})
+                chunks.pop(index, None)
+                if not chunks:
                     self._orphans.pop(name, None)
             return
         if chunk is not None and len(chunk) != job.chunk_length(index):
-            raise ValueError("a chunk has the wrong length")
+            raise ValueError("the number of tasks in the chunk does not match the job")
         self.changed_chunks.add((name, index))
         base = index * self.chunk_size
         old = job.chunks.get(index)
-        occupied = job.placed_count
-        job.changed(index, chunk is None or any(task.state is rec.TaskState.QUEUED for task in chunk))
+        placed_count = job.placed_count
+        job.mark_chunk_changed(index, chunk is None or any(task.state is rec.TaskState.QUEUED for task in chunk))
         for offset in range(job.chunk_length(index)):
-            before = old[offset] if old is not None else EMPTY
-            after = chunk[offset] if chunk is not None else EMPTY
+            before = old[offset] if old is not None else NEW_TASK
+            after = chunk[offset] if chunk is not None else NEW_TASK
             if before == after:
                 continue
             job.counts[before.state] -= 1
             job.counts[after.state] += 1
             job.ever_placed_count += bool(after.attempt) - bool(before.attempt)
             if before.machine:
-                self._lift(name, base + offset, before.machine)
+                self._remove_placement(name, base + offset, before.machine)
             if after.machine:
                 self.tasks_by_machine.setdefault(after.machine, {})[(name, base + offset)] = after
                 self.dirty_for_owner.add(after.machine)
                 self.dirty_for_placement.add(after.machine)
-                self._used.pop(after.machine, None)
+                self._used_by_machine.pop(after.machine, None)
         if chunk is None:
             job.chunks.pop(index, None)
             job.versions.pop(index, None)
         else:
             job.chunks[index] = chunk
             job.versions[index] = version
-        if job.placed_count != occupied:
-            self._team_use.count(job.spec, job.placed_count - occupied)
-        self._sort_in(job)
-
-    def _lift(self, name: str, number: int, machine: str) -> None:
-        there = self.tasks_by_machine.get(machine)
-        if there is not None:
-            there.pop((name, number), None)
-            if not there:
+        if job.placed_count != placed_count:
+            self._team_usage.add(job.spec, job.placed_count - placed_count)
+        self._update_job_indexes(job)
+
+    def _remove_placement(self, name: str, number: int, machine: str) -> None:
+        tasks = self.tasks_by_machine.get(machine)
+        if tasks is not None:
+            tasks.pop((name, number), None)
+            if not tasks:
                 del self.tasks_by_machine[machine]
         self.dirty_for_owner.add(machine)
         self.dirty_for_placement.add(machine)
-        self._used.pop(machine, None)
+        self._used_by_machine.pop(machine, None)
 
     def orphaned_chunks(self) -> Iterator[tuple[str, int]]:
-        """Chunks left behind by jobs that are over."""
+        """Keys and versions of the chunks whose job is not known."""
         for name, chunks in self._orphans.items():
             for index, (_, version) in chunks.items():
                 yield rec.chunk_key(name, index), version
 
-    # Questions -----------------------------------------------------------------------------------------------
+    # Queries -------------------------------------------------------------------------------------------------
 
     def used_by_team(self, team: str) -> tuple[float, float]:
-        """Cores and cards that the team's attempts take, from their commit until they are proven gone."""
-        return self._team_use.used(team)
+        """Cores and GPUs held by the team's attempts, from their placement until they are confirmed ended."""
+        return self._team_usage.used(team)
 
     def set_unrecorded_exit(self, key: TaskKey, attempt: int | None) -> None:
-        """Note that an attempt has ended, ahead of the records; None: they say it now, or it was not so."""
+        """Record the exit of an attempt ahead of the records in the state service.
+
+        None removes the entry: the records have caught up, or the attempt has not ended after all.
+        """
         if attempt is None:
             self.unrecorded_exits.pop(key, None)
         else:
@@ -339,17 +353,18 @@
         machine = "" if job is None else job.task(key[1]).machine
         if machine:
             self.dirty_for_placement.add(machine)
-            self._used.pop(machine, None)
+            self._used_by_machine.pop(machine, None)
 
     def tasks_on(self, machine: str) -> list[tuple[TaskKey, rec.TaskRecord]]:
-        """What the records place on a machine, without what is known to have ended."""
-        there = self.tasks_by_machine.get(machine)
-        if not there:
+        """The tasks that the records place on a machine, without those known to have ended."""
+        tasks = self.tasks_by_machine.get(machine)
+        if not tasks:
             return []
-        return [(key, task) for key, task in there.items() if self.unrecorded_exits.get(key) != task.attempt]
+        return [(key, task) for key, task in tasks.items() if self.unrecorded_exits.get(key) != task.attempt]
 
     def used_on(self, machine: str) -> tuple[float, float, float]:
-        used = self._used.get(machine)
+        """Cores, GPUs and GB of memory in use on a machine."""
+        used = self._used_by_machine.get(machine)
         if used is None:
             cpus = gpus = memory = 0.0
             top = NO_RANK
@@ -359,31 +374,35 @@
                 gpus += job.spec.gpus
                 memory += job.spec.memory_gb
                 top = min(top, job.priority_rank)
-            used = self._used[machine] = cpus, gpus, memory
+            used = self._used_by_machine[machine] = cpus, gpus, memory
             self._top_rank[machine] = top
         return used
 
     def top_rank_on(self, machine: str) -> int:
-        """The rank of the highest priority that takes room on a machine; ``NOBODY``: nothing does. Asked of every
-        machine in each round, so it is kept with the use."""
+        """The rank of the highest priority on a machine; ``NO_RANK`` if it has no task.
+
+        Cached along with the usage, since every round needs it for every machine.
+        """
         self.used_on(machine)
         return self._top_rank[machine]
 
     def infeasible_reason(self, spec: JobSpec) -> str | None:
-        """Why the job is more than its team's limit allows for good, or None."""
+        """Why the job can never run within the limit of its team, or None."""
         return infeasible_reason(self.limits, spec)
 
     def guaranteed_jobs(self) -> set[str]:
-        """Jobs that fit into their team's guarantee along with the team's earlier unfinished jobs. The set is the
-        picture's own and changes with it."""
+        """Jobs that fit into the guarantee of their team together with the team's earlier unfinished jobs.
+
+        The set is not a copy: later updates change it.
+        """
         for name in self._guarantees.refresh(self.jobs):
             self.dirty_jobs.add(name)
             changed = self.jobs.get(name)
             if changed is not None:
                 self.dirty_for_placement.update(task.machine for _, task in changed.placed_tasks())
-        return self._guarantees.inside
+        return self._guarantees.jobs_within
 
     @property
     def teams_over_guarantee(self) -> set[str]:
-        """Teams that have more unfinished work than their guarantee, as of when that was last worked out."""
+        """Teams with more unfinished work than their guarantee, as of the last call of ``guaranteed_jobs``."""
         return self._guarantees.teams_over
--- a/src/gladecroft/bookkeeping/job.py
+++ b/src/gladecroft/bookkeeping/job.py
@@ -1,4 +1,4 @@
-"""An accepted job that is not over, with its tasks, as the records tell."""
+"""Unfinished jobs and their tasks, as read from the records."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from gladecroft.bookkeeping.records import TaskState
 from gladecroft.protocol.wire import PRIORITY_RANK, JobSpec
 
-#: A job's name and the task's number.
+#: A job's id and the number of a task.
 TaskKey = tuple[str, int]
 
-#: What a task is whose chunk has no record yet.
-EMPTY = rec.TaskRecord()
+#: The state of a task whose chunk has no record yet.
+NEW_TASK = rec.TaskRecord()
 
 
 class Job:
-    """An accepted job that is not over, with its tasks."""
+    """An accepted job that is not finished, with its tasks in chunks of ``chunk_size``."""
 
     __slots__ = (
         "id", "spec", "record", "version", "chunks", "versions", "counts", "ever_placed_count", "priority_rank",
-        "chunk_size", "_notes", "_failed_on", "_through",
+        "chunk_size", "_queued_notes", "_failed_machines", "_chunks_without_queued",
     )  # fmt: skip
 
     def __init__(self, record: rec.JobRecord, version: int, size: int) -> None:
@@ -31,14 +31,15 @@
         self.chunk_size = size
         self.chunks: dict[int, list[rec.TaskRecord]] = {}
         self.versions: dict[int, int] = {}
+        #: Number of tasks in each ``TaskState``.
         self.counts = [record.spec.tasks, 0, 0, 0]
         #: Tasks that have been placed at least once.
         self.ever_placed_count = 0
         self.priority_rank = PRIORITY_RANK[record.spec.priority]
-        #: Chunks in which no task waits: a round need not look through what is done of a large array.
-        self._through: set[int] = set()
-        self._notes: list[str] | None = []
-        self._failed_on: frozenset[str] | None = frozenset()
+        #: Chunks without queued tasks. ``queued_numbers`` skips them, to avoid scanning the finished part of an array.
+        self._chunks_without_queued: set[int] = set()
+        self._queued_notes: list[str] | None = []
+        self._failed_machines: frozenset[str] | None = frozenset()
 
     @property
     def cancelled(self) -> bool:
@@ -46,6 +47,7 @@
 
     @property
     def placed_count(self) -> int:
+        """The number of tasks with an attempt on a machine."""
         return self.counts[TaskState.ACTIVE] + self.counts[TaskState.STOPPING]
 
     @property
@@ -58,7 +60,7 @@
 
     @property
     def finished(self) -> bool:
-        """Nothing of it can run any more: all done, or cancelled with every attempt gone."""
+        """Whether all tasks are done, or the job is cancelled and none of its attempts is left."""
         return self.done_count == self.spec.tasks or (self.cancelled and self.placed_count == 0)
 
     def chunk_count(self) -> int:
@@ -69,38 +71,44 @@
 
     def task(self, number: int) -> rec.TaskRecord:
         chunk = self.chunks.get(number // self.chunk_size)
-        return EMPTY if chunk is None else chunk[number % self.chunk_size]
+        return NEW_TASK if chunk is None else chunk[number % self.chunk_size]
 
-    def changed(self, index: int, waiting: bool) -> None:
-        """Some tasks of a chunk have; ``waiting``: some of them wait."""
-        (self._through.discard if waiting else self._through.add)(index)
-        self._notes = self._failed_on = None
+    def mark_chunk_changed(self, index: int, has_queued: bool) -> None:
+        """Update derived data after a chunk changed; ``has_queued``: some of its tasks are queued."""
+        (self._chunks_without_queued.discard if has_queued else self._chunks_without_queued.add)(index)
+        self._queued_notes = self._failed_machines = None
 
     def queued_notes(self) -> list[str]:
-        """Why waiting tasks last stopped, the most frequent first; worked out once a change, not once a poll."""
-        if self._notes is None:
+        """The three most frequent reasons why queued tasks last stopped, with counts.
+
+        Cached until a chunk changes, since users poll it.
+        """
+        if self._queued_notes is None:
             notes: dict[str, int] = {}
             for chunk in self.chunks.values():
                 for task in chunk:
                     if task.note and task.state is TaskState.QUEUED:
                         notes[task.note] = notes.get(task.note, 0) + 1
-            self._notes = [f"{note} ({count})" for note, count in sorted(notes.items(), key=lambda item: -item[1])[:3]]
-        return self._notes
+            self._queued_notes = [
+                f"{note} ({count})" for note, count in sorted(notes.items(), key=lambda item: -item[1])[:3]
+            ]
+        return self._queued_notes
 
     def failed_machines(self) -> frozenset[str]:
-        """The machines on which waiting tasks last failed; worked out once a change."""
-        if self._failed_on is None:
-            self._failed_on = frozenset(
+        """The machines on which queued tasks last failed. Cached until a chunk changes."""
+        if self._failed_machines is None:
+            self._failed_machines = frozenset(
                 task.note.removeprefix(rec.FAILED_NOTE_PREFIX)
                 for chunk in self.chunks.values()
                 for task in chunk
                 if task.failures and task.state is TaskState.QUEUED and task.note.startswith(rec.FAILED_NOTE_PREFIX)
             )
-        return self._failed_on
+        return self._failed_machines
 
     def queued_numbers(self) -> Iterator[int]:
+        """The numbers of the queued tasks, in order."""
         for index in range(self.chunk_count()):
-            if index in self._through:
+            if index in self._chunks_without_queued:
                 continue
             chunk = self.chunks.get(index)
             base = index * self.chunk_size
@@ -112,6 +120,7 @@
                         yield base + offset
 
     def placed_tasks(self) -> Iterator[tuple[int, rec.TaskRecord]]:
+        """The tasks with an attempt on a machine: numbers and records."""
         for index, chunk in self.chunks.items():
             for offset, task in enumerate(chunk):
                 if task.state in (TaskState.ACTIVE, TaskState.STOPPING):
--- a/src/gladecroft/bookkeeping/records.py
+++ b/src/gladecroft/bookkeeping/records.py
@@ -1,15 +1,15 @@
-"""The form of what is kept in the state service.
-
-g/epoch            the epoch: members, leader, machines moved by hand of the split
-g/n/<controller>   member key, on a state lease
-g/j/<job>          an accepted job until it is over
-g/p/<job>/<chunk>  its tasks, CHUNK of them
-g/f/<job>          a job that is over; kept for ever
-g/t/<team>         the controller that alone places a team's tasks
-g/m/<machine>      a machine of which there is more to say than that it is up
-g/x/<controller>   what this controller has to tell others that it can't reach
-g/q/<subject>/<n>  what a policy keeps (sorts after g/f/, so that a start reads it)
-g/s/admission      in an overload: who comes first, and whose submissions are taken, for all controllers alike
+"""Records in the state service and their keys.
+
+g/epoch            the epoch: members, leader, machines moved away from their default owner
+g/n/<controller>   member key, attached to a lease of the state service
+g/j/<job>          an accepted job until it is finished
+g/p/<job>/<chunk>  a chunk of the job's tasks
+g/f/<job>          final record of a finished job; kept for ever
+g/t/<team>         the only controller that places the team's tasks
+g/m/<machine>      a machine, once there is more to record than that it has reported
+g/x/<controller>   outbox: the controller's messages for others that it can't reach
+g/q/<subject>/<n>  data of a policy (sorts after g/f/, so that the listing at startup includes it)
+g/s/admission      admission in an overload: shares of the groups and which submissions are accepted
 """
 
 from __future__ import annotations
@@ -29,27 +29,28 @@
 FINALS = "g/f/"
 TEAMS = "g/t/"
 MACHINES = "g/m/"
-MAIL = "g/x/"
+OUTBOXES = "g/x/"
 POLICIES = "g/q/"
-SHARES = "g/s/"
+ADMISSION_PREFIX = "g/s/"
 ADMISSION = "g/s/admission"
 
-#: What the records are called, by prefix.
-RECORD_NAMES = {JOBS: "job", CHUNKS: "tasks", FINALS: "final state", TEAMS: "claim", MACHINES: "machine", MAIL: "mail",
-          POLICIES: "policy", SHARES: "admission"}  # fmt: skip
+#: Names of the record kinds in log messages, by prefix.
+RECORD_NAMES = {JOBS: "job", CHUNKS: "tasks", FINALS: "final state", TEAMS: "claim", MACHINES: "machine",
+                OUTBOXES: "mail", POLICIES: "policy", ADMISSION_PREFIX: "admission"}  # fmt: skip
 
-#: Bytes by which the tasks of a chunk are counted. With a note a record may take more: notes go if a value gets too
-#: big.
-TASK_BYTES = 44
-#: What a task's record takes at the most besides its note and its machine's name.
-BARE_TASK_BYTES = 34
+#: Bytes per task by which the length of a chunk is chosen. A task with a note may take more; the notes are dropped if
+#: the value gets too large.
+ESTIMATED_TASK_BYTES = 44
+#: Upper bound for the bytes of a task's record without its note and machine name.
+MAX_BARE_TASK_BYTES = 34
 
-
-#: Begins the note of a task that failed, whose machine follows.
+#: Prefix of the note of a failed task; the machine's name follows.
 FAILED_NOTE_PREFIX = "error "
 
 
 class TaskState(IntEnum):
+    """Where a task stands; ACTIVE and STOPPING tasks have an attempt on a machine."""
+
     QUEUED = 0
     ACTIVE = 1
     STOPPING = 2
@@ -57,6 +58,8 @@
 
 
 class EpochRecord(msgspec.Struct, frozen=True):
+    """An epoch: its number, leader and members, and the machines moved away from their default owner."""
+
     number: int
     leader: str
     members: dict[str, int]
@@ -64,22 +67,30 @@
 
 
 class MemberRecord(msgspec.Struct, frozen=True):
+    """A running controller."""
+
     incarnation: int
 
 
 class JobRecord(msgspec.Struct, frozen=True, omit_defaults=True):
+    """An accepted job until it is finished."""
+
     spec: JobSpec
     accepted_ms: int
     cancelled: bool = False
 
 
 class FinalRecord(msgspec.Struct, gc=False, frozen=True, omit_defaults=True):
+    """The outcome of a finished job."""
+
     done: bool
     tasks: int = 0
     reason: str = ""
 
 
 class TaskRecord(msgspec.Struct, gc=False, frozen=True, array_like=True, omit_defaults=True):
+    """A task and its latest attempt. ``note``: why it last stopped."""
+
     state: TaskState = TaskState.QUEUED
     attempt: int = 0
     machine: str = ""
@@ -89,49 +100,53 @@
 
 
 class ChunkRecord(msgspec.Struct, frozen=True):
+    """Consecutive tasks of a job in one value."""
+
     tasks: list[TaskRecord]
 
 
 class TeamRecord(msgspec.Struct, gc=False, frozen=True):
-    """Who alone places the team's tasks, in which incarnation. Every placement is conditional on it."""
+    """The only controller that places the team's tasks, and its incarnation. Every placement is conditional on it."""
 
     home: str = ""
     incarnation: int = 0
 
 
 class MachineUse(IntEnum):
-    """What a machine may be used for; only UP ones are placed on."""
+    """What a machine may be used for. Tasks are placed only on machines that are UP."""
 
     UP = 0
-    #: Not heard for some time.
+    #: No report for some time.
     SILENT = 1
-    #: The cloud takes it away soon: its work is stopped.
+    #: Being reclaimed: the cloud has announced that it takes the machine away. Its tasks are stopped.
     RECLAIMING = 2
-    #: It fails what it starts: its work is stopped.
+    #: It fails the tasks that it starts. Its tasks are stopped.
     FAULTY = 3
-    #: Idle, and about to be returned.
+    #: Idle, and about to be returned to the cloud.
     RETURNING = 4
-    #: Little used: its services move elsewhere, its arrays' tasks run to their end.
+    #: Little used: its services are moved to other machines, its array tasks run to completion.
     DRAINING = 5
-    #: Returned. The record stays for some time, so that a report held up by the network does not bring it back.
+    #: Returned to the cloud. The record stays for some time, so that a delayed report does not add the machine again.
     RETURNED = 6
 
 
-#: Uses in which what is on a machine is to be stopped or moved.
-CLEARING = (MachineUse.RECLAIMING, MachineUse.FAULTY, MachineUse.DRAINING)
+#: Uses in which the tasks on a machine are to be stopped or moved.
+EVACUATED_USES = (MachineUse.RECLAIMING, MachineUse.FAULTY, MachineUse.DRAINING)
 
 
-#: A machine's type and zone, and whether it is a cheap one (spot).
+#: Machine type, zone, and whether it is spot capacity.
 CapacityPool = tuple[str, str, bool]
 
 
 class MachineRecord(msgspec.Struct, gc=False, frozen=True):
+    """A machine and its use."""
+
     type: str
     zone: str
     spot: bool
     addr: str
     use: MachineUse = MachineUse.UP
-    #: When the cloud takes it away, if it has said so, by the time of day.
+    #: Unix time at which the cloud reclaims the machine, if it has announced it; else 0.
     until_s: int = 0
 
     @property
@@ -140,7 +155,7 @@
 
 
 class OutboxRecord(msgspec.Struct, gc=False, frozen=True):
-    """Ends of attempts, proven under this epoch, and machines that have reported: as ``protocol.peers`` has them."""
+    """Attempts confirmed ended under this epoch, and machines that have reported."""
 
     epoch: int
     ended: list[EndedAttempt] = []
@@ -148,10 +163,10 @@
 
 
 class GroupShare(msgspec.Struct, gc=False, frozen=True, array_like=True, omit_defaults=True):
-    """Of a team's jobs of one class, in cores: below ``floor`` they come before all others, above ``share`` after.
+    """Cores for a team's jobs of one class: below ``floor`` they precede all other jobs, above ``share`` they follow.
 
-    ``begin`` and ``width``: the part of the circle of job ids whose submissions are taken; a width of 1 or more: all.
-    ``sweep``: by how much ``begin`` moves on with each second.
+    Job ids are mapped to a ring of length 1. A submission is accepted if its id lies in the arc of length ``width``
+    from ``begin`` on; a width of 1 or more accepts all. ``begin`` advances by ``sweep`` per second.
     """
 
     team: str
@@ -164,9 +179,10 @@
 
 
 class AdmissionRecord(msgspec.Struct, gc=False, frozen=True, omit_defaults=True):
-    """What the leader has decided for all in an overload. It counts until ``until_s`` by the time of day, so that one
-    that nobody renews ends by itself. ``salt`` keys the order of job ids: users choose these. ``scarce``: the teams'
-    guarantees alone are more than there is.
+    """The leader's decision on admission in an overload, for all controllers.
+
+    It expires at the Unix time ``until_s`` unless renewed. ``salt`` keys the mapping of job ids to the ring, since
+    users choose the ids. ``scarce``: the guarantees of the teams alone exceed the capacity.
     """
 
     generation: int
@@ -178,8 +194,9 @@
     scarce: bool = False
 
 
-def chunk_size(value_kb: float) -> int:
-    return max(1, int(value_kb * 1024 * 0.95) // TASK_BYTES)
+def tasks_per_chunk(value_kb: float) -> int:
+    """How many tasks go into a chunk, given the limit on the size of a value."""
+    return max(1, int(value_kb * 1024 * 0.95) // ESTIMATED_TASK_BYTES)
 
 
 def job_key(job: str) -> str:
@@ -195,12 +212,12 @@
 
 
 def team_key(team: str) -> str:
-    # Keys hold no spaces; a team's name may.
+    # A team's name may contain spaces, a key may not.
     return TEAMS + team.encode().hex()
 
 
 def outbox_key(controller: str) -> str:
-    return MAIL + controller
+    return OUTBOXES + controller
 
 
 def policy_key(subject: str, name: str) -> str:
--- a/src/gladecroft/bookkeeping/versions.py
+++ b/src/gladecroft/bookkeeping/versions.py
@@ -1,42 +1,49 @@
-"""Of which revision each key is, so that changes may come in any order."""
+"""Versions of keys, so that updates may arrive in any order.
+
+The version of a key is the revision of its last change.
+"""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-#: Revisions of deleted keys that are kept, so that an older change can't bring a key back.
-TOMBSTONES = 20_000
+#: Number of tombstones kept. A tombstone is the revision of a key's deletion; it keeps older updates from restoring
+#: the key.
+MAX_TOMBSTONES = 20_000
 
 
 class KeyVersions:
+    """The version of each existing key, and tombstones of deleted ones."""
+
     def __init__(self) -> None:
-        self._live: dict[str, int] = {}
-        self._dead: OrderedDict[str, int] = OrderedDict()
+        self._versions: dict[str, int] = {}
+        self._tombstones: OrderedDict[str, int] = OrderedDict()
 
-    def of(self, key: str) -> int:
-        """The revision of the key's last change as far as known; 0 if the key does not exist."""
-        return self._live.get(key, 0)
+    def get(self, key: str) -> int:
+        """The last known version of the key; 0 if it does not exist."""
+        return self._versions.get(key, 0)
 
-    def take(self, key: str, version: int, exists: bool) -> bool:
-        """Note a change; False if a later one of the key is known."""
-        if version <= self._live.get(key, 0) or version <= self._dead.get(key, 0):
+    def advance(self, key: str, version: int, exists: bool) -> bool:
+        """Record an update; False if it is not newer than what is known of the key."""
+        if version <= self._versions.get(key, 0) or version <= self._tombstones.get(key, 0):
             return False
         if exists:
-            self._live[key] = version
+            self._versions[key] = version
         else:
-            self._live.pop(key, None)
-            self.bury(key, version)
+            self._versions.pop(key, None)
+            self.add_tombstone(key, version)
         return True
 
-    def forget(self, key: str) -> None:
-        """The key never changes any more: no need to know its revision."""
-        self._live.pop(key, None)
+    def discard(self, key: str) -> None:
+        """Discard the version of a key that never changes again."""
+        self._versions.pop(key, None)
 
-    def bury(self, key: str, version: int) -> None:
-        self._dead[key] = version
-        if len(self._dead) > TOMBSTONES:
-            self._dead.popitem(last=False)
+    def add_tombstone(self, key: str, version: int) -> None:
+        """Record a deletion, discarding the oldest tombstone if there are too many."""
+        self._tombstones[key] = version
+        if len(self._tombstones) > MAX_TOMBSTONES:
+            self._tombstones.popitem(last=False)
 
-    def buried(self, key: str) -> bool:
-        """Whether the key was deleted, as far as is remembered."""
-        return key in self._dead
+    def has_tombstone(self, key: str) -> bool:
+        """Whether the key was deleted, as far as the tombstones reach back."""
+        return key in self._tombstones
--- a/src/gladecroft/bookkeeping/workload.py
+++ b/src/gladecroft/bookkeeping/workload.py
@@ -1,4 +1,4 @@
-"""Sums over the unfinished work, kept as it changes: in an overload nobody may look through all that waits."""
+"""Totals over the unfinished jobs, updated incrementally: in an overload, scanning all queued jobs takes too long."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from gladecroft.bookkeeping.job import Job
 from gladecroft.protocol.wire import JobKind
 
-#: A team and a class of jobs.
+#: A team and a job class.
 JobGroup = tuple[str, str]
 
 
 class TeamDemand:
-    """What waits of one team. ``sizes``: the cores of a task of each waiting job, in order."""
+    """The queued work of one team. ``task_cpus``: the cores per task of each job with queued tasks, sorted."""
 
     __slots__ = ("queued_jobs", "queued_cpus", "task_cpus", "production_jobs", "service_jobs", "changing_jobs")
 
@@ -22,12 +22,12 @@
         self.queued_jobs = self.production_jobs = self.service_jobs = 0
         self.queued_cpus = 0.0
         self.task_cpus: SortedList[float] = SortedList()
-        #: Jobs that wait or will end soon: the ones that changes are spent on.
+        #: Jobs that cause transactions: those with queued tasks, and those that end by themselves.
         self.changing_jobs = 0
 
 
 class SpotWork:
-    """Core-seconds of a group's arrays that may run on cheap machines, by their owners' estimates."""
+    """Work of a group's arrays that may run on spot machines, in core-seconds as estimated by the users."""
 
     __slots__ = ("queued_cpu_s", "running_cpu_s", "queued_cpus")
 
@@ -36,8 +36,7 @@
 
 
 class GroupUsage:
-    """Of one team and class: unfinished jobs, and cores, cards and GB that its attempts hold and its waiting tasks ask
-    for."""
+    """Unfinished jobs of a group, and cores, GPUs and GB of memory that it uses and that its queued tasks request."""
 
     __slots__ = ("jobs", "used", "queued")
 
@@ -48,85 +47,92 @@
 
 
 class _Counted:
-    __slots__ = ("queued", "occupied", "weight")
+    """What the totals include of one job."""
+
+    __slots__ = ("queued", "placed", "changing")
 
     def __init__(self) -> None:
-        self.queued = self.occupied = self.weight = 0
+        self.queued = self.placed = self.changing = 0
 
 
 class Workload:
-    """``note`` is told of a job whenever its tasks' states or its record change, ``forget`` when it is over."""
+    """Totals by team and by group.
+
+    ``update`` must be called whenever a job's record or the states of its tasks change, ``remove`` when it is finished.
+    """
 
     def __init__(self) -> None:
         self.teams: dict[str, TeamDemand] = {}
         self.spot_work: dict[JobGroup, SpotWork] = {}
         self.groups: dict[JobGroup, GroupUsage] = {}
-        #: Jobs that have come and gone since the records were listed.
+        #: Jobs that were added and removed since the records were listed.
         self.arrivals: Counter[JobGroup] = Counter()
         self.departures: Counter[JobGroup] = Counter()
         self._counted: dict[str, _Counted] = {}
 
     @property
     def queued_cpus(self) -> float:
-        """Cores that waiting tasks ask for in all."""
+        """Cores that all queued tasks request."""
         return sum(team.queued_cpus for team in self.teams.values())
 
     def smallest_task_cpus(self) -> float:
-        """The cores of the smallest waiting task; 0 if none waits."""
+        """The cores of the smallest queued task; 0 if there is none."""
         return min((team.task_cpus[0] for team in self.teams.values() if team.task_cpus), default=0.0)
 
-    def note(self, job: Job) -> None:
-        self._set(
+    def update(self, job: Job) -> None:
+        """Bring the totals up to date with a job."""
+        self._update_totals(
             job, job.queued_count, job.placed_count, bool(job.queued_count) or job.spec.kind is not JobKind.SERVICE
         )
 
-    def forget(self, job: Job) -> None:
+    def remove(self, job: Job) -> None:
+        """Take a finished job out of the totals."""
         if job.id not in self._counted:
             return
-        self._set(job, 0, 0, False)
+        self._update_totals(job, 0, 0, False)
         del self._counted[job.id]
         group = self.groups[(job.spec.team, job.spec.job_class)]
         self.departures[(job.spec.team, job.spec.job_class)] += 1
         group.jobs -= 1
         if not group.jobs:
-            # With it goes what adding and taking away has left over.
+            # Discards accumulated rounding errors along with the entry.
             del self.groups[(job.spec.team, job.spec.job_class)]
 
-    def _set(self, job: Job, queued: int, occupied: int, weighs: bool) -> None:
+    def _update_totals(self, job: Job, queued: int, placed: int, changing: bool) -> None:
         spec = job.spec
-        noted = self._counted.get(job.id)
-        if noted is None:
-            noted = self._counted[job.id] = _Counted()
+        counted = self._counted.get(job.id)
+        if counted is None:
+            counted = self._counted[job.id] = _Counted()
             self.groups.setdefault((spec.team, spec.job_class), GroupUsage()).jobs += 1
             self.arrivals[(spec.team, spec.job_class)] += 1
-        if noted.queued == queued and noted.occupied == occupied and noted.weight == weighs:
+        if counted.queued == queued and counted.placed == placed and counted.changing == changing:
             return
         team = self.teams.get(spec.team)
         if team is None:
             team = self.teams[spec.team] = TeamDemand()
-        step = bool(queued) - bool(noted.queued)
-        if step:
-            team.queued_jobs += step
-            team.production_jobs += step * (job.priority_rank == 0)
-            team.service_jobs += step * (spec.kind is JobKind.SERVICE)
-            if step > 0:
+        delta = bool(queued) - bool(counted.queued)
+        if delta:
+            team.queued_jobs += delta
+            team.production_jobs += delta * (job.priority_rank == 0)
+            team.service_jobs += delta * (spec.kind is JobKind.SERVICE)
+            if delta > 0:
                 team.task_cpus.add(spec.cpus)
             else:
                 team.task_cpus.remove(spec.cpus)
-        team.changing_jobs += weighs - noted.weight
-        team.queued_cpus += (queued - noted.queued) * spec.cpus
+        team.changing_jobs += changing - counted.changing
+        team.queued_cpus += (queued - counted.queued) * spec.cpus
         if not team.queued_jobs:
-            team.queued_cpus = 0.0  # what adding and taking away has left over
+            team.queued_cpus = 0.0  # discards accumulated rounding errors
         group = self.groups[(spec.team, spec.job_class)]
-        for index, each in enumerate((spec.cpus, spec.gpus, spec.memory_gb)):
-            group.queued[index] += (queued - noted.queued) * each
-            group.used[index] += (occupied - noted.occupied) * each
+        for index, amount in enumerate((spec.cpus, spec.gpus, spec.memory_gb)):
+            group.queued[index] += (queued - counted.queued) * amount
+            group.used[index] += (placed - counted.placed) * amount
         if spec.kind is JobKind.ARRAY and spec.spot:
             work = self.spot_work.get((spec.team, spec.job_class))
             if work is None:
                 work = self.spot_work[(spec.team, spec.job_class)] = SpotWork()
-            each = spec.cpus * spec.estimate_s
-            work.queued_cpu_s += (queued - noted.queued) * each
-            work.queued_cpus += (queued - noted.queued) * spec.cpus
-            work.running_cpu_s += (occupied - noted.occupied) * each
-        noted.queued, noted.occupied, noted.weight = queued, occupied, int(weighs)
+            amount = spec.cpus * spec.estimate_s
+            work.queued_cpu_s += (queued - counted.queued) * amount
+            work.queued_cpus += (queued - counted.queued) * spec.cpus
+            work.running_cpu_s += (placed - counted.placed) * amount
+        counted.queued, counted.placed, counted.changing = queued, placed, int(changing)
--- a/src/gladecroft/protocol/operators.py
+++ b/src/gladecroft/protocol/operators.py
@@ -1,4 +1,4 @@
-"""What operators say to a controller, on the address that only they and siblings reach."""
+"""Messages between operators and a controller, on the address that only operators and peers can reach."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 def format_utc(at: datetime) -> str:
-    """An instant as logs, reasons and commands write it."""
+    """Format a point in time for logs, reasons and commands."""
     return f"{at:%Y-%m-%d %H:%M:%S} UTC"
 
 
 def format_until(until_s: int) -> str:
-    """The end of something, by the time of day, to be put after other words; nothing if it has none (0)."""
+    """Format the end of a period, given in Unix time, to be appended to a text; empty if there is no end (0)."""
     return f" until {format_utc(datetime.fromtimestamp(until_s, UTC))}" if until_s else ""
 
 
 class CordonScope(Enum):
-    """What a cordon's name is the name of."""
+    """What kind of object the name in a cordon denotes."""
 
     MACHINE = "machine"
     TYPE = "type"
@@ -33,7 +33,7 @@
 
 
 class CordonRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """Set a cordon or, with ``lift``, end it. ``until_s``: when it ends by itself, in seconds of the time of day."""
+    """Set a cordon or, with ``lift``, remove it. ``until_s``: Unix time at which it expires; 0 for never."""
 
     scope: CordonScope
     name: Annotated[str, Meta(min_length=1, max_length=200)]
@@ -44,7 +44,7 @@
 
 
 class CordonInfo(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A cordon that is set. ``until_s``: when it ends, by the time of day; 0: when an operator lifts it."""
+    """A cordon that is set. ``until_s``: Unix time at which it expires; 0 if only an operator lifts it."""
 
     scope: CordonScope
     name: str
@@ -55,19 +55,23 @@
 
 
 class CordonStatus(CordonInfo, frozen=True, omit_defaults=True):
-    """A cordon as operators see it, and how many machines it shuts."""
+    """A cordon, and the number of machines that it excludes from placement."""
 
     machines: int = 0
 
 
 class CordonList(msgspec.Struct, frozen=True):
+    """All cordons that are set."""
+
     cordons: list[CordonStatus]
 
 
 class GroupStatus(msgspec.Struct, frozen=True):
-    """A team's jobs of one class: unfinished jobs, and cores in use, waited for, guaranteed as floor and due as share.
+    """A team's jobs of one class: number of unfinished jobs, and cores by use.
 
-    ``taken``: the part of new submissions, by their users' minute of tries, that is taken (1: all)."""
+    ``used``: in use; ``waiting``: requested by queued tasks; ``floor``, ``share``: allotted by the admission decision.
+    ``taken``: the fraction of new submissions accepted within the minute during which users retry (1: all).
+    """
 
     team: str
     job_class: str
@@ -80,7 +84,10 @@
 
 
 class AdmissionStatus(msgspec.Struct, frozen=True):
-    """What is agreed. ``level``: open (nothing is), shaping (floors and shares count), shedding (some are refused)."""
+    """The admission decision in force.
+
+    ``level``: open (no restriction), shaping (floors and shares apply), shedding (also refuses submissions).
+    """
 
     level: str
     generation: int
--- a/src/gladecroft/protocol/peers.py
+++ b/src/gladecroft/protocol/peers.py
@@ -1,4 +1,4 @@
-"""What controllers say to each other."""
+"""Messages between controllers."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 REPORTED_MACHINES_PATH = "/heard"
 REPORTING_MACHINES_PATH = "/hears"
 CONSENT_PATH = "/consent"
-#: How many ends go into one message at the most; with the longest names it stays under the limit of a body.
+#: Ended attempts per message; with names of maximal length it stays below the limit on the size of a body.
 MAX_ENDED_PER_MESSAGE = 300
-#: The same for machines; names are at most 200 bytes long.
+#: Machines per message, for the same reason; their names have at most 200 bytes.
 MAX_MACHINES_PER_MESSAGE = 80
-#: The same for cancelled jobs, whose names are at most 43 bytes long.
+#: Cancelled jobs per message, for the same reason; their ids have at most 43 bytes.
 MAX_CANCELLED_PER_MESSAGE = 900
 
 
 class EndedAttempt(msgspec.Struct, gc=False, frozen=True, array_like=True):
-    """An attempt that is proven gone, and how it ended."""
+    """An attempt that is confirmed ended, and its outcome."""
 
     job: str
     number: int
@@ -28,14 +28,14 @@
 
 
 class EndedAttempts(msgspec.Struct, frozen=True):
-    """From the owner of the machines to the home of the jobs. The proofs hold under this epoch only."""
+    """Sent by the owner of the machines to the home controller of the jobs. Valid only under this epoch."""
 
     epoch: int
     attempts: list[EndedAttempt]
 
 
 class ReportedMachine(msgspec.Struct, gc=False, frozen=True, array_like=True):
-    """A machine that has reported to its owner. What is told of it never changes."""
+    """A machine that has reported to its owner. None of these properties ever changes."""
 
     name: str
     type: str
@@ -45,16 +45,16 @@
 
 
 class ReportedMachines(msgspec.Struct, frozen=True):
-    """From the owner of machines, or the leader, to all other controllers. ``gone``: returned to the cloud."""
+    """Sent by the owner of machines, or by the leader, to all other controllers. ``gone``: returned to the cloud."""
 
     machines: list[ReportedMachine]
     gone: list[str] = []
 
 
 class ConsentRequest(msgspec.Struct, frozen=True):
-    """From a controller that the state service does not serve: may it go on answering its machines under this epoch?
+    """Asked by a controller that can't reach the state service: may it go on answering its machines under this epoch?
 
-    ``revision``: up to which its picture holds all that was committed. Without it nothing is told of cancellations.
+    ``revision``: the revision up to which its cluster state is complete. Without it the reply lists no cancellations.
     """
 
     epoch: int
@@ -62,21 +62,24 @@
 
 
 class CancelledJob(msgspec.Struct, gc=False, frozen=True, array_like=True):
-    """A job whose record has been marked as cancelled, and the revision of that change."""
+    """A job whose record is marked as cancelled, and the revision of that change."""
 
     job: str
     version: int
 
 
 class ConsentReply(msgspec.Struct, frozen=True):
-    """The answer to ``ConsentWanted``: yes, and the cancellations known to the sender that are newer than the asker's
-    revision. ``complete``: these are all of them, and all that the sender, in whatever life, has ever told a user."""
+    """The positive reply to ``ConsentRequest``, with the known cancellations that are newer than the asker's revision.
+
+    ``complete``: the list contains every such cancellation, including those that the sender confirmed to users in
+    earlier incarnations.
+    """
 
     cancelled: list[CancelledJob] = []
     complete: bool = False
 
 
 class ReportingMachines(msgspec.Struct, frozen=True):
-    """Machines about which their owner is asked, and, in its answer, those of them that it hears."""
+    """In a request, machines about which their owner is asked; in the reply, those whose reports it receives."""
 
     machines: list[str]
--- a/src/gladecroft/protocol/settings.py
+++ b/src/gladecroft/protocol/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file (TOML) and the operators' own settings (Java-style properties)."""
+"""The platform's settings file (TOML) and the operators' settings (Java properties)."""
 
 from __future__ import annotations
 
@@ -17,38 +17,44 @@
 NonNegative = Annotated[float, Meta(ge=0.0)]
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 
-#: The policies that there are.
-POLICIES = frozenset({"cordon"})
+#: Names of the available policies.
+KNOWN_POLICIES = frozenset({"cordon"})
 
-#: Steady clocks may disagree by this share of a span.
+#: Fraction of an interval by which two monotonic clocks may differ.
 MAX_CLOCK_DRIFT = 0.0005
 
 
 class SettingsError(Exception):
-    """The settings can't be used; the text names the file and the field."""
+    """Invalid settings. The message names the file and the field."""
 
 
 class PeerSettings(msgspec.Struct, rename={"name": "label", "zone": "site"}):
+    """Another controller of the same cluster."""
+
     name: Name
     peer_addr: str
     zone: str = ""
 
 
 class ExternalServices(msgspec.Struct):
+    """Addresses of the cloud and the state service."""
+
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct):
+    """The guarantee (``cpus``, ``gpus``) and the limit (``cpus_max``, ``gpus_max``) of a team; 0 means none.
+
+    A limit of 0 must not be read as zero cores, or every job of such a team would be refused.
+    """
+
     name: Name
     cpus: NonNegative
     cpus_max: NonNegative
     gpus: NonNegative = 0.0
     gpus_max: NonNegative = 0.0
 
-    # A 0 stands for "none": no guarantee, and no limit. (Read as a limit of nothing, every job of such a team would be
-    # refused for good.)
-
     @property
     def cpu_limit(self) -> float:
         return self.cpus_max or math.inf
@@ -58,11 +64,13 @@
         return self.gpus_max or math.inf
 
     @property
-    def limited(self) -> bool:
+    def has_limit(self) -> bool:
         return self.cpus_max > 0 or self.gpus_max > 0
 
 
 class Objective(msgspec.Struct, rename={"job_class": "class"}):
+    """A service level objective of the platform."""
+
     kind: str
     within_s: float = 0.0
     share: float = 0.0
@@ -70,6 +78,8 @@
 
 
 class WorkerSettings(msgspec.Struct):
+    """Intervals of the protocol with the machines, in seconds."""
+
     report_s: Positive
     lease_s: Positive
     cancel_s: Positive
@@ -78,6 +88,8 @@
 
 
 class StateServiceSettings(msgspec.Struct):
+    """Limits of the state service."""
+
     rps: Positive
     write_rps: Positive
     value_kb: Positive
@@ -85,6 +97,8 @@
 
 
 class CloudSettings(msgspec.Struct):
+    """Limits of the cloud's API. ``list_lag_s``: by how much its list of machines may be out of date."""
+
     rps: Positive
     list_lag_s: NonNegative
 
@@ -92,18 +106,22 @@
 class ProcessLimits(
     msgspec.Struct, rename={"cpu_share": "core_share", "memory_mb": "ram_mb", "max_connections": "fd_limit"}
 ):
+    """Resources of the controller process."""
+
     cpu_share: Positive = 1.0
     memory_mb: Positive = 256.0
     max_connections: Annotated[int, Meta(ge=32)] = 512
 
 
-class ClusterSettings(msgspec.Struct, rename={"limits": "resources", "clock_off_ms": "time_bound_ms"}):
+class ClusterSettings(msgspec.Struct, rename={"limits": "resources", "max_clock_offset_ms": "time_bound_ms"}):
+    """Settings that are the same for all controllers. ``max_clock_offset_ms``: bound on the error of clocks."""
+
     zones: list[str]
     teams: list[Team]
     workers: WorkerSettings
     state: StateServiceSettings
     cloud: CloudSettings
-    clock_off_ms: NonNegative = 0.0
+    max_clock_offset_ms: NonNegative = 0.0
     limits: ProcessLimits = msgspec.field(default_factory=ProcessLimits)
     objectives: list[Objective] = []
 
@@ -120,7 +138,7 @@
         "cluster": "settings",
     },
 ):
-    """What the platform hands to every controller."""
+    """The settings file that the platform provides to a controller."""
 
     name: Name
     listen: str
@@ -132,11 +150,12 @@
 
     @property
     def lease(self) -> timedelta:
+        """The lease of a machine on its tasks, renewed by the answers to its reports."""
         return timedelta(seconds=self.cluster.workers.lease_s)
 
 
 class OperatorSettings(msgspec.Struct, forbid_unknown_fields=True, rename=lambda name: name.replace("_", ".")):
-    """The operators' own settings. In the properties file the words of a key are joined by dots."""
+    """The operators' settings. Keys in the properties file have dots in place of underscores."""
 
     priority_line: Priority = Priority.HIGH
     offer_top: Annotated[int, Meta(ge=1, le=64)] = 4
@@ -145,17 +164,19 @@
     machine_idle: Annotated[float, Meta(ge=0.0, le=3600.0)] = 15.0
     machine_consolidate: bool = True
     machine_reserve: Annotated[float, Meta(ge=0.0, le=10.0)] = 0.1
-    #: Whether in an overload the leader sees to it that each team and class has at least its floor. By the rules less
-    #: than half of a class or team served is a failed day, so it is on unless the operators say otherwise.
+    #: Whether the leader guarantees each team and job class its floor in an overload. On by default: a day on which
+    #: less than half of a team's or class's work is served counts as failed.
     admission: bool = True
-    #: The policies that are switched on, by name, with commas between.
+    #: Names of the enabled policies, separated by commas.
     policies: str = ""
 
     def policy_names(self) -> list[str]:
+        """The names in ``policies``, in order."""
         return [name for name in (each.strip() for each in self.policies.split(",")) if name]
 
 
 def parse_address(addr: str, where: str = "address") -> tuple[str, int]:
+    """Split HOST:PORT; ``where`` names the field in the error message."""
     host, colon, port = addr.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise SettingsError(f"{where}: expected HOST:PORT, got {addr!r}")
@@ -163,6 +184,7 @@
 
 
 def load_platform(path: str | Path) -> PlatformSettings:
+    """Read and check the platform's settings file."""
     try:
         table = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -183,7 +205,7 @@
         parse_address(addr, f"{path}: {where}")
     names = [team.name for team in platform.cluster.teams]
     if len(set(names)) != len(names):
-        raise SettingsError(f"{path}: settings.teams: a name stands twice")
+        raise SettingsError(f"{path}: settings.teams: duplicate name")
     workers = platform.cluster.workers
     if workers.lease_s >= workers.cancel_s:
         raise SettingsError(f"{path}: settings.workers: lease_s must be below cancel_s")
@@ -191,10 +213,10 @@
 
 
 def load_operator(path: str | Path | None) -> OperatorSettings:
-    """Read the operators' properties; without a file every setting has its default."""
+    """Read and check the operators' properties; without a file every setting has its default."""
     if path is None:
         return OperatorSettings()
-    # Only when used: it brings half of the standard library's web modules, a sixth of what a start costs.
+    # Imported only when needed: it pulls in many web modules of the standard library, a sixth of the startup cost.
     from javaproperties import InvalidUEscapeError, loads
 
     try:
@@ -213,14 +235,16 @@
         raise SettingsError(f"{path}: {error}") from None
     names = operator.policy_names()
     for name in names:
-        if name not in POLICIES:
-            raise SettingsError(f"{path}: policies: unknown policy {name!r} (known: {', '.join(sorted(POLICIES))})")
+        if name not in KNOWN_POLICIES:
+            raise SettingsError(
+                f"{path}: policies: unknown policy {name!r} (known: {', '.join(sorted(KNOWN_POLICIES))})"
+            )
     if len(set(names)) != len(names):
-        raise SettingsError(f"{path}: policies: a name stands twice")
+        raise SettingsError(f"{path}: policies: duplicate name")
     return operator
 
 
 def member_ttl(operator_settings: OperatorSettings, platform: PlatformSettings) -> timedelta:
-    """The member lease, kept well under what a cancellation leaves after a machine's lease."""
+    """The lease of a member key, kept well below the time that ``cancel_s`` leaves after the lease of a machine."""
     workers = platform.cluster.workers
     return timedelta(seconds=min(operator_settings.member_ttl, (workers.cancel_s - workers.lease_s) / 2.5))
--- a/src/gladecroft/protocol/wire.py
+++ b/src/gladecroft/protocol/wire.py
@@ -1,7 +1,7 @@
-"""Every message of the outside protocols as a msgspec struct.
+"""Messages exchanged with users, machines, the cloud and the state service, as msgspec structs.
 
-Attributes carry the field's usual terms; the ``rename`` maps hold the names used on the wire, and no other
-module mentions those.
+Attributes have the usual terms of the field. The ``rename`` maps hold the names used on the wire, which no other module
+mentions.
 """
 
 from __future__ import annotations
@@ -21,13 +21,17 @@
 
 
 class JobKind(StrEnum):
+    """How the tasks of a job run."""
+
     ARRAY = "batch"
     SERVICE = "service"
-    #: All tasks run at the same time or not at all. The deployments' protocol does not offer it to users yet.
+    #: All tasks run at the same time or not at all. Not yet offered to users by the protocol of the deployments.
     GANG = "group"
 
 
 class Priority(StrEnum):
+    """Priority classes, from the most to the least important."""
+
     PRODUCTION = "production"
     HIGH = "urgent"
     NORMAL = "normal"
@@ -39,6 +43,8 @@
 
 
 class JobState(StrEnum):
+    """The state of a job as users see it."""
+
     QUEUED = "queued"
     RUNNING = "running"
     DONE = "done"
@@ -46,6 +52,8 @@
 
 
 class ReportedTaskState(StrEnum):
+    """The state of a task as its machine reports it."""
+
     FETCHING = "fetching"
     RUNNING = "running"
     WAITING = "waiting"
@@ -54,6 +62,8 @@
 
 
 class ExitReason(StrEnum):
+    """Why an attempt exited or did not start."""
+
     DONE = "done"
     STOPPED = "halted"
     ERROR = "error"
@@ -63,12 +73,16 @@
 
 
 class CommandOp(StrEnum):
+    """What a command tells a machine to do with an attempt. FORGET: discard one that has exited."""
+
     START = "start"
     STOP = "halt"
     FORGET = "reap"
 
 
 class MachineState(StrEnum):
+    """The state of a machine in the cloud's list."""
+
     BOOTING = "starting"
     RUNNING = "running"
     FAILED = "failed"
@@ -100,7 +114,7 @@
         "deadline_s": "dueS",
     },
 ):
-    """A job as its user submits it."""
+    """A job as submitted."""
 
     id: str
     job_class: str
@@ -124,11 +138,13 @@
     deadline_s: Amount | None = None
 
     def max_tasks_per_zone(self) -> int:
-        """How many of the tasks may be in one zone at a time."""
+        """How many of the tasks may be placed in one zone at a time."""
         return (self.tasks + 1) // 2 if self.spread else self.tasks
 
 
 class JobStatus(msgspec.Struct, omit_defaults=True, rename={"id": "nameId", "state": "status"}):
+    """Reply to a status query."""
+
     id: str
     state: JobState
     done: int | UnsetType = UNSET
@@ -137,16 +153,22 @@
 
 
 class ErrorReply(msgspec.Struct):
+    """Body of an error response."""
+
     error: str
 
 
 class ReportTarget(msgspec.Struct, omit_defaults=True, rename={"report_to": "steward"}):
+    """Tells a machine which controller to report to, if one is known."""
+
     report_to: str | None = None
 
 
 class TaskReport(
     msgspec.Struct, gc=False, rename={"task": "portion", "attempt": "try", "state": "status", "exit_reason": "cause"}
 ):
+    """An attempt in the report of its machine."""
+
     task: str
     attempt: Count
     state: ReportedTaskState
@@ -169,6 +191,11 @@
         "tasks": "portions",
     },
 ):
+    """A machine's periodic report.
+
+    ``seq`` orders the reports of a session; ``token`` is the highest fencing token that the machine has received.
+    """
+
     machine: str
     addr: str
     type: str
@@ -187,6 +214,8 @@
     omit_defaults=True,
     rename={"op": "verb", "task": "portion", "attempt": "try", "grace_s": "mercyS"},
 ):
+    """A command about one attempt. ``grace_s``: time to save its work before it is killed."""
+
     op: CommandOp
     task: str
     attempt: int
@@ -194,6 +223,8 @@
 
 
 class Commands(msgspec.Struct, omit_defaults=True, rename={"token": "baton", "session": "shift", "commands": "orders"}):
+    """Commands for a machine, under the fencing token of the sender."""
+
     token: int
     commands: list[Command]
     session: int | UnsetType = UNSET
@@ -214,6 +245,8 @@
         "zones": "districts",
     },
 ):
+    """A machine type in the cloud's offer."""
+
     name: str
     cpus: Amount
     memory_gb: Amount
@@ -227,6 +260,8 @@
 
 
 class MachineTypes(msgspec.Struct, rename={"types": "flavors"}):
+    """The cloud's offer."""
+
     types: list[MachineType]
 
 
@@ -234,6 +269,8 @@
     msgspec.Struct,
     rename={"request": "booking", "type": "flavor", "zone": "district", "spot": "leftovers", "count": "number"},
 ):
+    """Request for machines. ``request`` is an idempotency key."""
+
     request: str
     type: str
     zone: str
@@ -242,6 +279,8 @@
 
 
 class MachineNames(msgspec.Struct, rename={"machines": "hearths"}):
+    """Names of machines in requests to the cloud and its responses."""
+
     machines: list[str]
 
 
@@ -257,6 +296,8 @@
         "age_s": "ageS",
     },
 ):
+    """A machine in the cloud's list."""
+
     id: str
     type: str
     zone: str
@@ -267,46 +308,64 @@
 
 
 class MachineList(msgspec.Struct, rename={"machines": "hearths", "more": "truncated"}):
+    """A page of the cloud's list of machines."""
+
     machines: list[ListedMachine]
     more: bool = False
 
 
 class Condition(msgspec.Struct, gc=False, rename={"version": "stamp"}):
+    """Condition of a transaction: the key has this version; 0 if it must not exist."""
+
     key: str
     version: int
 
 
 class Put(msgspec.Struct, gc=False, omit_defaults=True, rename={"key": "write", "value": "data", "lease": "tenure"}):
+    """Write of a key. Without ``lease`` the key is detached from its lease."""
+
     key: str
     value: msgspec.Raw
     lease: int | UnsetType = UNSET
 
 
 class Delete(msgspec.Struct, gc=False, rename={"key": "drop"}):
+    """Deletion of a key."""
+
     key: str
 
 
 class Txn(msgspec.Struct, omit_defaults=True, rename={"conditions": "if", "ops": "apply"}):
+    """A transaction of the state service: all operations are applied if all conditions hold."""
+
     conditions: list[Condition]
     ops: list[Any] = []
 
 
 class TxnReply(msgspec.Struct, rename={"revision": "ledger"}):
+    """Result of a transaction: the revision of the commit, or the keys whose conditions failed."""
+
     revision: int = 0
     failed: list[str] = []
 
 
 class KeyValue(msgspec.Struct, gc=False, rename={"value": "data", "version": "stamp"}):
+    """A key with its value and version."""
+
     key: str
     value: msgspec.Raw
     version: int
 
 
 class KeyNotFound(msgspec.Struct, rename={"revision": "ledger"}):
+    """Response for a key that does not exist, as of a revision."""
+
     revision: int
 
 
 class RangeReply(msgspec.Struct, rename={"items": "pairs", "more": "truncated", "revision": "ledger"}):
+    """A page of the keys with a prefix."""
+
     items: list[KeyValue]
     revision: int
     more: bool = False
@@ -315,6 +374,8 @@
 class WatchEvent(
     msgspec.Struct, gc=False, rename={"put": "write", "delete": "drop", "value": "data", "version": "stamp"}
 ):
+    """One change in the watch log: ``put`` or ``delete`` holds the key."""
+
     version: int
     put: str | None = None
     delete: str | None = None
@@ -322,19 +383,26 @@
 
 
 class WatchReply(msgspec.Struct, rename={"revision": "ledger", "events": "log"}):
+    """Changes since the revision asked for."""
+
     revision: int
     events: list[WatchEvent] = []
 
 
 class LeaseRequest(msgspec.Struct, rename={"ttl_ms": "ttlMs"}):
+    """Request for a lease of the state service."""
+
     ttl_ms: int
 
 
 class LeaseReply(msgspec.Struct, rename={"lease": "tenure"}):
+    """Response with the id of the lease."""
+
     lease: int
 
 
 def encode(message: Any) -> bytes:
+    """Encode one message as JSON."""
     return msgspec.json.encode(message)
 
 
@@ -342,7 +410,7 @@
 
 
 def decode(kind: Any, body: bytes) -> Any:
-    """Decode one message; raises ``msgspec.DecodeError`` (or its subclass ``ValidationError``)."""
+    """Decode one message. Raises ``msgspec.DecodeError`` or its subclass ``ValidationError``."""
     decoder = _DECODERS.get(kind)
     if decoder is None:
         decoder = _DECODERS[kind] = msgspec.json.Decoder(kind)
@@ -350,13 +418,13 @@
 
 
 def parse_job(body: bytes) -> JobSpec:
-    """Decode a submission; ``ValueError`` says what is wrong with it."""
+    """Decode and check a submission. Raises ``ValueError`` with a message for the user."""
     try:
         spec: JobSpec = decode(JobSpec, body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise ValueError(str(error)) from None
     if not JOB_ID.match(spec.id):
-        raise ValueError("the job id must be wk- and digits")
+        raise ValueError("the job id must consist of wk- and up to 40 digits")
     for name in ("team", "image", "job_class"):
         if len(getattr(spec, name)) > 200:
             raise ValueError(f"{name} is too long")
@@ -364,11 +432,13 @@
 
 
 class JobReference(msgspec.Struct, rename={"id": "nameId"}):
+    """The job id alone, out of a submission that may otherwise be malformed."""
+
     id: str
 
 
 def submitted_job_id(body: bytes) -> str | None:
-    """The job that a submission names, though it may be malformed else; None: it names none."""
+    """The job id in a submission that may otherwise be malformed, or None if there is no valid one."""
     try:
         name: str = decode(JobReference, body).id
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -376,7 +446,7 @@
     return name if JOB_ID.match(name) else None
 
 
-# Paths of the outside interfaces.
+# Paths of the HTTP interfaces.
 SUBMIT_PATH = "/work"
 CANCEL_SUFFIX = "abort"
 REPORT_PATH = "/agent/beat"
@@ -392,22 +462,27 @@
 
 
 def renew_lease_path(lease: int) -> str:
+    """Path for renewing a lease of the state service."""
     return f"{GRANTS_PATH}/{lease}/renew"
 
 
 def key_path(key: str) -> str:
+    """Path for reading one key."""
     return f"{STORE_PATH}/{key}"
 
 
 def range_path(prefix: str, after: str | None, limit: int) -> str:
+    """Path for listing up to ``limit`` keys with a prefix, from the first one after ``after``."""
     tail = f"&after={after}" if after else ""
     return f"{STORE_PATH}?prefix={prefix}{tail}&page={limit}"
 
 
 def watch_path(prefix: str, after: int, wait_ms: int) -> str:
+    """Path for a long poll of the changes after a revision."""
     return f"/watch?prefix={prefix}&after={after}&blockMs={wait_ms}"
 
 
 def list_machines_path(after: str | None, limit: int) -> str:
+    """Path for listing up to ``limit`` machines, from the first one after ``after``."""
     tail = f"after={after}&" if after else ""
     return f"{MACHINES_PATH}?{tail}page={limit}"
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""Messages and settings."""
+"""Decoding and encoding of messages, and validation of settings."""
 
 import contextlib
 from pathlib import Path
@@ -25,13 +25,13 @@
     return wire.parse_job(msgspec.json.encode(job))
 
 
-def test_a_job_is_read() -> None:
+def test_job_is_decoded() -> None:
     spec = parse(JOB)
     assert (spec.id, spec.tasks, spec.priority, spec.types) == ("wk-000412", 16, wire.Priority.HIGH, ["g8"])
 
 
 @pytest.mark.parametrize("field", sorted(JOB))
-def test_a_missing_field_is_malformed_unless_it_may_be_null(field: str) -> None:
+def test_missing_field_is_rejected_unless_nullable(field: str) -> None:
     job = {key: value for key, value in JOB.items() if key != field}
     if field in NULLABLE:
         parse(job)
@@ -49,13 +49,13 @@
         {"shape": "gang"}, {"urgency": "high"}, {"oneZone": 1}, {"flavors": "g8"}, {"dueS": -1.0}, {"owner": None},
     ],
 )  # fmt: skip
-def test_a_wrong_field_is_malformed(change: dict[str, Any]) -> None:
+def test_invalid_field_is_rejected(change: dict[str, Any]) -> None:
     with pytest.raises(ValueError):
         parse({**JOB, **change})
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b"3", b"null", b'"x"', b"\xff\xfe", b"[" * 60_000])
-def test_what_is_no_object_is_malformed(body: bytes) -> None:
+def test_body_that_is_not_an_object_is_rejected(body: bytes) -> None:
     with pytest.raises(ValueError):
         wire.parse_job(body)
 
@@ -65,13 +65,13 @@
 
 
 @given(st.binary(max_size=200))
-def test_no_body_brings_the_parser_down(body: bytes) -> None:
+def test_arbitrary_body_raises_only_value_error(body: bytes) -> None:
     with contextlib.suppress(ValueError):
         wire.parse_job(body)
 
 
 @given(st.integers(0, 2**64 - 1), st.integers(0, 2**64 - 1), st.integers(0, 2**64 - 1))
-def test_counts_up_to_64_bits_survive(session: int, seq: int, token: int) -> None:
+def test_64_bit_counters_round_trip(session: int, seq: int, token: int) -> None:
     report = {"hearth": "m-1", "endpoint": "a:1", "flavor": "g", "district": "a", "leftovers": True, "shift": session,
               "tally": seq, "baton": token, "warningS": None, "portions": []}  # fmt: skip
     read: wire.Report = wire.decode(wire.Report, msgspec.json.encode(report))
@@ -79,7 +79,7 @@
     assert msgspec.json.decode(wire.encode(read))["shift"] == session
 
 
-def test_commands_have_the_names_of_the_wire() -> None:
+def test_commands_are_encoded_with_wire_names() -> None:
     commands = wire.Commands(
         41, [wire.Command(wire.CommandOp.STOP, "wk-1/1", 1, 10.0), wire.Command(wire.CommandOp.START, "wk-1/2", 2)]
     )
@@ -92,7 +92,7 @@
     }
 
 
-def test_a_put_without_a_lease_detaches() -> None:
+def test_put_without_lease_omits_lease_field() -> None:
     put = wire.Put("a/b", msgspec.Raw(b"{}"))
     assert msgspec.json.decode(wire.encode(put)) == {"write": "a/b", "data": {}}
 
@@ -118,7 +118,7 @@
     return path
 
 
-def test_settings_are_read_and_the_member_lease_leaves_room(tmp_path: Path) -> None:
+def test_member_lease_is_well_below_cancellation_deadline(tmp_path: Path) -> None:
     platform = load_platform(write(tmp_path / "s.toml", SETTINGS))
     ttl = member_ttl(load_operator(None), platform).total_seconds()
     assert ttl + platform.cluster.workers.lease_s < 0.75 * platform.cluster.workers.cancel_s
@@ -136,12 +136,12 @@
         ("zones = [", "zones = [[", "TOML"),
     ],
 )
-def test_wrong_settings_are_refused_by_name(tmp_path: Path, old: str, new: str, named: str) -> None:
+def test_invalid_settings_error_names_field(tmp_path: Path, old: str, new: str, named: str) -> None:
     with pytest.raises(SettingsError, match=named):
         load_platform(write(tmp_path / "s.toml", SETTINGS.replace(old, new)))
 
 
-def test_operator_settings(tmp_path: Path) -> None:
+def test_operator_settings_are_loaded(tmp_path: Path) -> None:
     operator = load_operator(write(tmp_path / "o.properties", "# ours\npriority.line = normal\noffer.top: 7\n"))
     assert (operator.priority_line, operator.offer_top) == (wire.Priority.NORMAL, 7)
 
@@ -151,7 +151,7 @@
     [("offer.topp=4", "offer.topp"), ("offer.top=many", "offer.top"), ("priority.line=high", "priority.line"),
      ("offer.top=0", "offer.top"), ("spot.avoiding=\\u00zz", "properties")],
 )  # fmt: skip
-def test_wrong_operator_settings_are_refused_by_file_and_key(tmp_path: Path, text: str, named: str) -> None:
+def test_invalid_operator_settings_error_names_file_and_key(tmp_path: Path, text: str, named: str) -> None:
     with pytest.raises(SettingsError, match=named) as error:
         load_operator(write(tmp_path / "o.properties", text))
     assert "o.properties" in str(error.value)
