--- a/src/gladecroft/coordination/__init__.py
+++ b/src/gladecroft/coordination/__init__.py
@@ -1,1 +1,4 @@
-"""Decisions: membership, placement, machines, the fleet. No I/O: time and events in, effects out."""
+"""Decision logic: membership, placement, machines and fleet size.
+
+This package does no I/O: it takes the time and events as input and returns effects for the caller to carry out.
+"""
--- a/src/gladecroft/coordination/consent.py
+++ b/src/gladecroft/coordination/consent.py
@@ -1,19 +1,22 @@
-"""The right to go on answering machines through an outage of the state service, by consent of all siblings.
+"""Permission to keep answering machines during an outage of the state service, given by all peers.
 
-A controller may act for one member lease after its last good renewal, because for so long nobody can have taken its
-machines. In an outage nobody can take them at all, yet a controller can't tell an outage from being refused alone. Its
-siblings can: each says whether the state service serves *it*, and whether it knows a newer epoch. While every one of
-them, members or not, says "neither", the machines go on being answered, and no work is lost to their leases.
+A controller is active for one member lease after its last confirmed renewal, because no other controller can take over
+its machines within that time. During an outage nobody can take them over at all, but a controller can't tell an outage
+from being the only one that is not served. Its peers can: each says whether the state service serves it, and whether
+it knows a newer epoch. While every peer, member or not, denies both, this controller keeps answering its machines, so
+that no work is lost to expired machine leases.
 
-Why this is safe is told in ``docs/safety.md``. In short: who acts under a newer epoch has learned of it before and from
-then on consents no more, so this controller stops within a member lease of that, as it would without consent. A right
-that has lapsed is never revived here.
+``docs/safety.md`` explains why this is safe. In short: a controller that acts under a newer epoch has learned of that
+epoch before and no longer consents, so this controller stops within one member lease of that, as it would without
+consent. A right to answer that has expired is never restored here.
 
-Each consent brings along the cancellations that its sender knows and this controller does not: committed records, which
-count here as if the watch had brought them. So their tasks are stopped with the next answers, and only a cancellation
-that was told after the last such round can be unknown here; it is outlasted by its time limit.
+Each consent also carries the cancellations that the peer knows and this controller does not. They are committed records
+and are applied as if the watch had delivered them, so the affected tasks are stopped with the next replies to their
+machines. Only a cancellation acknowledged to a user after the last complete round can be unknown here; its time limit
+has not passed when the extension ends.
 
-It owns what siblings have said. It never gives the right to commit, rent, return, move or command unasked.
+This module keeps track of what the peers have said. It never allows a controller to commit, to rent, return or move
+machines, or to send commands other than in replies to reports.
 """
 
 from __future__ import annotations
@@ -31,139 +34,154 @@
 
 log = logging.getLogger(__name__)
 
-#: Siblings are asked so many times in a member lease: a lost message or two must not end the consent.
-ASKS_A_LEASE = 10
-#: The part of what a cancellation leaves after a machine's lease for which machines may be answered on old news.
-OLD_NEWS = 0.8
-#: What must be left then: a worker notices the end of its lease, and ends its tasks, a little late.
-LEFT_AT_LEAST = timedelta(seconds=1)
-LONG_AGO = timedelta(days=-1)
+#: Consent requests per member lease: one or two lost messages must not end the consent.
+REQUESTS_PER_LEASE = 10
+#: Fraction of the time between the machine lease and the cancellation limit for which machines may be answered without
+#: knowing the newest cancellations.
+STALE_REPLY_SHARE = 0.8
+#: Time that must remain after that: a worker ends its tasks slightly after its lease has expired.
+MIN_CANCEL_MARGIN = timedelta(seconds=1)
+NEVER = timedelta(days=-1)
 
 
 class PeerConsent:
+    """Asks the peers for consent during an outage, and answers their requests."""
+
     def __init__(self, context: ControllerContext, membership: Membership) -> None:
         self.context = context
         self.membership = membership
-        self._siblings = [peer.name for peer in context.platform.peers]
-        #: When the last request was sent to which a sibling has consented, under this epoch.
-        self._given: dict[str, timedelta] = {}
-        #: The same for the last consent that told of all cancellations.
-        self._told_all: dict[str, timedelta] = {}
-        self._asking: set[str] = set()
-        self._asked_at = LONG_AGO
-        self._until = LONG_AGO
+        self._peers = [peer.name for peer in context.platform.peers]
+        #: By peer: when the latest request that it consented to was sent, in this epoch.
+        self._consented_at: dict[str, timedelta] = {}
+        #: By peer: the same for the latest consent that listed all cancellations.
+        self._complete_at: dict[str, timedelta] = {}
+        self._requests_in_flight: set[str] = set()
+        self._last_request_at = NEVER
+        self._extended_until = NEVER
         workers = context.cluster.workers
-        room = timedelta(seconds=workers.cancel_s - workers.lease_s)
-        self._longest = OLD_NEWS * room / CLOCK_SKEW_FACTOR
-        self._possible = (1 - OLD_NEWS) * room >= LEFT_AT_LEAST
-        if not self._possible and self._siblings:
-            log.info("cancel_s leaves %g s after lease_s: too little to answer machines by consent in an outage",
-                     room.total_seconds())  # fmt: skip
+        cancel_margin = timedelta(seconds=workers.cancel_s - workers.lease_s)
+        self._max_extension = STALE_REPLY_SHARE * cancel_margin / CLOCK_SKEW_FACTOR
+        self._enabled = (1 - STALE_REPLY_SHARE) * cancel_margin >= MIN_CANCEL_MARGIN
+        if not self._enabled and self._peers:
+            log.info("cancel_s exceeds lease_s by only %g s: machines will not be answered by consent in an outage",
+                     cancel_margin.total_seconds())  # fmt: skip
 
     def may_answer_machines(self) -> bool:
-        """Whether this controller may answer its machines: entitled to act, or with the consent of all siblings."""
-        return self.membership.is_active() or self.membership.caught_up() and self.context.now < self._until
-
-    def outage(self) -> bool:
-        """Whether every sibling has lately said that the state service does not serve it either."""
-        lately = self.context.now - self.context.member_ttl / 2
-        return self.context.unserved() and all(self._given.get(name, LONG_AGO) > lately for name in self._siblings)
+        """Whether this controller may answer its machines: it is active, or all peers consent."""
+        return self.membership.is_active() or self.membership.caught_up() and self.context.now < self._extended_until
+
+    def outage_confirmed(self) -> bool:
+        """Whether every peer has recently said that the state service does not serve it either."""
+        recent = self.context.now - self.context.member_ttl / 2
+        return self.context.state_failing() and all(
+            self._consented_at.get(name, NEVER) > recent for name in self._peers
+        )
 
     def epoch_changed(self) -> None:
-        """What was said of an earlier epoch counts no more."""
-        self._given.clear()
-        self._told_all.clear()
-        self._until = LONG_AGO
+        """Discard consent given in an earlier epoch."""
+        self._consented_at.clear()
+        self._complete_at.clear()
+        self._extended_until = NEVER
 
     def tick(self) -> None:
+        """Request consent from the peers and extend the right to answer, while the state service fails."""
         context, membership = self.context, self.membership
         epoch = membership.epoch
-        if not context.unserved():
-            # Off while the state service answers: nothing is asked, and what was said before is not built on later.
-            self._given.clear()
-            self._told_all.clear()
-            if context.now >= self._until:
-                self._until = LONG_AGO
+        if not context.state_failing():
+            # Inactive while the state service answers. Earlier consent must not count in the next outage.
+            self._consented_at.clear()
+            self._complete_at.clear()
+            if context.now >= self._extended_until:
+                self._extended_until = NEVER
             return
-        if epoch is None or not membership.is_member() or not self._siblings:
+        if epoch is None or not membership.is_member() or not self._peers:
             return
-        if self._possible:
+        if self._enabled:
             self._extend()
-        if context.now - self._asked_at >= context.member_ttl / ASKS_A_LEASE:
-            self._asked_at = context.now
-            for name in self._siblings:
-                if name not in self._asking:
-                    self._ask(name, epoch.number)
+        if context.now - self._last_request_at >= context.member_ttl / REQUESTS_PER_LEASE:
+            self._last_request_at = context.now
+            for name in self._peers:
+                if name not in self._requests_in_flight:
+                    self._request_consent(name, epoch.number)
 
     def _extend(self) -> None:
         context = self.context
-        right = max(self._until, self.membership.active_until)
-        if context.now >= right:
-            return  # lapsed: somebody may have acted on it; only a good renewal brings the right back
-        oldest = min(self._given.get(name, LONG_AGO) for name in self._siblings)
-        # Who tells a user of a cancellation knows it. So one that is not known here was told after this.
-        told_all = min(self._told_all.get(name, LONG_AGO) for name in self._siblings)
+        valid_until = max(self._extended_until, self.membership.active_until)
+        if context.now >= valid_until:
+            # Expired: another controller may own the machines by now. Only a confirmed renewal restores the right.
+            return
+        oldest_consent = min(self._consented_at.get(name, NEVER) for name in self._peers)
+        # A controller that acknowledges a cancellation to a user knows it, so any cancellation that is unknown here was
+        # acknowledged after this time.
+        oldest_complete = min(self._complete_at.get(name, NEVER) for name in self._peers)
         until = min(
-            oldest + context.member_ttl / CLOCK_SKEW_FACTOR, max(self.membership.renewed_at, told_all) + self._longest
+            oldest_consent + context.member_ttl / CLOCK_SKEW_FACTOR,
+            max(self.membership.renewed_at, oldest_complete) + self._max_extension,
         )
-        if until > right:
-            if self._until == LONG_AGO:
-                log.info("the state service serves nobody: machines are answered by consent of all siblings")
-            self._until = until
+        if until > valid_until:
+            if self._extended_until == NEVER:
+                log.info("state service outage: answering machines by consent of all peers")
+            self._extended_until = until
 
-    def _ask(self, name: str, epoch: int) -> None:
-        sent = self.context.now
+    def _request_consent(self, name: str, epoch: int) -> None:
+        sent_at = self.context.now
 
-        def then(status: int, body: bytes) -> None:
-            self._asking.discard(name)
+        def on_result(status: int, body: bytes) -> None:
+            self._requests_in_flight.discard(name)
             if status != 200:
                 return
             try:
-                answer: peers.ConsentReply = wire.decode(peers.ConsentReply, body)
+                reply: peers.ConsentReply = wire.decode(peers.ConsentReply, body)
             except msgspec.DecodeError as error:
-                log.error("%s answers with what is no consent: %s", name, error)
+                log.error("malformed consent reply from %s: %s", name, error)
                 return
-            for cancelled in answer.cancelled:
-                self._take_cancelled(cancelled)
-            now_epoch = self.membership.epoch
-            if now_epoch is not None and now_epoch.number == epoch and self.context.unserved():
-                self._given[name] = max(sent, self._given.get(name, LONG_AGO))
-                if answer.complete:
-                    self._told_all[name] = max(sent, self._told_all.get(name, LONG_AGO))
-
-        wanted = peers.ConsentRequest(epoch, self.context.cluster_state.revision)
-        if self.context.call_peer(name, peers.CONSENT_PATH, wire.encode(wanted), then):
-            self._asking.add(name)
-
-    def _take_cancelled(self, cancelled: peers.CancelledJob) -> None:
-        """Take in a committed record that the watch has not brought: a cancellation changes nothing but its mark, so
-        name and revision are the whole of it."""
+            for cancelled in reply.cancelled:
+                self._apply_cancellation(cancelled)
+            current_epoch = self.membership.epoch
+            if current_epoch is not None and current_epoch.number == epoch and self.context.state_failing():
+                self._consented_at[name] = max(sent_at, self._consented_at.get(name, NEVER))
+                if reply.complete:
+                    self._complete_at[name] = max(sent_at, self._complete_at.get(name, NEVER))
+
+        request = peers.ConsentRequest(epoch, self.context.cluster_state.revision)
+        if self.context.call_peer(name, peers.CONSENT_PATH, wire.encode(request), on_result):
+            self._requests_in_flight.add(name)
+
+    def _apply_cancellation(self, cancelled: peers.CancelledJob) -> None:
+        """Apply a committed cancellation that the watch has not delivered yet.
+
+        A cancellation changes nothing in the job record but its flag, so job id and revision are sufficient.
+        """
         cluster_state = self.context.cluster_state
         job = cluster_state.jobs.get(cancelled.job)
         if job is not None and not job.cancelled and cancelled.version > job.version:
             record = msgspec.structs.replace(job.record, cancelled=True)
             cluster_state.apply(rec.job_key(job.id), msgspec.json.encode(record), cancelled.version)
-            log.info("job %s: cancelled, as a sibling tells", job.id)
+            log.info("job %s: cancelled according to a peer", job.id)
 
-    def asked(self, request: IncomingRequest) -> None:
-        """A sibling asks whether it may go on under its epoch.
+    def handle_request(self, request: IncomingRequest) -> None:
+        """Answer a peer that asks whether it may keep answering its machines under its epoch.
 
-        Not if the state service serves this controller: then the sibling alone is refused and is to be replaced. Not if
-        a newer epoch was ever known here: under that one its machines may be another's.
+        Consent is denied if the state service serves this controller, since then only the peer is cut off and has to be
+        replaced, and if this controller has ever known a newer epoch, since in that epoch the machines may belong to
+        another controller.
         """
-        wanted = self.context.decode_request(request, peers.ConsentRequest)
-        if wanted is None:
+        message = self.context.decode_request(request, peers.ConsentRequest)
+        if message is None:
             return
-        if not self.context.unserved():
+        if not self.context.state_failing():
             self.context.reply_error(request.request_id, 409, "the state service answers here")
-        elif self.membership.newest_epoch() > wanted.epoch:
+        elif self.membership.newest_epoch() > message.epoch:
             self.context.reply_error(request.request_id, 409, "a newer epoch is known here")
         else:
-            self.context.reply(request.request_id, 200, wire.encode(self._build_reply(wanted.revision)))
+            self.context.reply(request.request_id, 200, wire.encode(self._build_reply(message.revision)))
 
     def _build_reply(self, revision: int | None) -> peers.ConsentReply:
-        """All that this controller has told users was in its picture before; if it was started again meanwhile, in the
-        records that it has read since. Of jobs that are over there is nothing left to stop."""
+        """Build the consent with all cancellations newer than the peer's revision.
+
+        Every cancellation that this controller has acknowledged was in its cluster state first, or, after a
+        restart, in the records it has read since. Finished jobs are left out: they have no tasks to stop.
+        """
         context = self.context
         if revision is None or not context.records_loaded:
             return peers.ConsentReply()
--- a/src/gladecroft/coordination/context.py
+++ b/src/gladecroft/coordination/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the core share: time, calls out, budgets, the picture."""
+"""Context shared by the components of a controller: time, outgoing calls, token buckets and the cluster state."""
 
 from __future__ import annotations
 
@@ -18,54 +18,61 @@
 
 log = logging.getLogger(__name__)
 
-T = TypeVar("T")
-Handler = Callable[[int, bytes], None]
+MessageT = TypeVar("MessageT")
+ResultHandler = Callable[[int, bytes], None]
 
 ZERO = timedelta()
-STATE_LIMIT = timedelta(seconds=1.2)
+STATE_TIMEOUT = timedelta(seconds=1.2)
 CLOUD_TIMEOUT = timedelta(seconds=6)
-WORKER_LIMIT = timedelta(seconds=2)
-PEER_LIMIT = timedelta(seconds=1)
-#: How long after a request that was not served it is made again.
+WORKER_TIMEOUT = timedelta(seconds=2)
+PEER_TIMEOUT = timedelta(seconds=1)
+#: Delay before a failed request is sent again.
 RETRY_DELAY = timedelta(seconds=0.4)
-#: The part of the writes that is shared evenly, whatever the work.
-EVEN = 0.4
-LEND = 1.7
-LEND_AFTER = timedelta(seconds=10)
-ACCOUNT_EVERY = timedelta(seconds=30)
-#: Two steady clocks may disagree by twice the drift of one.
+#: Fraction of the write budget that is divided evenly; the rest follows each controller's share of the work.
+EVEN_WRITE_SHARE = 0.4
+#: While the state service rate-limits nobody, a controller may write this many times its share.
+WRITE_BORROW_FACTOR = 1.7
+#: No borrowing for this long after a rate-limited request.
+WRITE_BORROW_BACKOFF = timedelta(seconds=10)
+USAGE_LOG_INTERVAL = timedelta(seconds=30)
+#: Upper bound on the ratio between the rates of two monotonic clocks, each of which may drift by MAX_CLOCK_DRIFT.
 CLOCK_SKEW_FACTOR = 1 + 2 * MAX_CLOCK_DRIFT
 
 
 class TokenBucket:
-    """A token bucket."""
+    """A token bucket that refills at ``rate`` tokens per second up to ``burst``."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate = rate
         self.burst = max(1.0, burst)
         self.tokens = self.burst
-        self._at = ZERO
+        self._refilled_at = ZERO
 
-    def set(self, rate: float, burst: float) -> None:
+    def set_rate(self, rate: float, burst: float) -> None:
+        """Change rate and burst; tokens beyond the new burst are lost."""
         self.rate, self.burst = rate, max(1.0, burst)
         self.tokens = min(self.tokens, self.burst)
 
     def available(self, now: timedelta) -> float:
-        if now > self._at:
-            self.tokens = min(self.burst, self.tokens + self.rate * (now - self._at).total_seconds())
-            self._at = now
+        """Refill the bucket and return the tokens available."""
+        if now > self._refilled_at:
+            self.tokens = min(self.burst, self.tokens + self.rate * (now - self._refilled_at).total_seconds())
+            self._refilled_at = now
         return self.tokens
 
-    def take(self, now: timedelta, amount: float = 1.0, floor: float = 0.0) -> bool:
-        """Take if that leaves at least ``floor``; an amount over the burst waits for a full bucket."""
-        if self.available(now) < min(amount + floor, self.burst):
+    def try_take(self, now: timedelta, amount: float = 1.0, reserve: float = 0.0) -> bool:
+        """Take the tokens if at least ``reserve`` remain. An amount above the burst needs a full bucket."""
+        if self.available(now) < min(amount + reserve, self.burst):
             return False
         self.tokens -= amount
         return True
 
 
 class ControllerContext:
-    """One controller's shared ground. Its methods only note effects; nothing here waits."""
+    """State and services shared by the components of one controller.
+
+    Its methods record effects for the caller of the core to carry out; none of them blocks.
+    """
 
     def __init__(self, platform: PlatformSettings, operator_settings: OperatorSettings) -> None:
         self.platform = platform
@@ -78,183 +85,208 @@
         self.machine_lease = timedelta(seconds=self.cluster.workers.lease_s)
         self.report_interval = timedelta(seconds=self.cluster.workers.report_s)
         self.cluster_state = ClusterState(self.cluster.teams, self.cluster.state.value_kb)
-        #: The policies that are switched on, as one; None: none is.
+        #: The enabled policies; None if no policy is enabled.
         self.panel: Panel | None = switched_on(operator_settings.policy_names())
         if self.panel is not None:
             self.cluster_state.on_policy_change, self.cluster_state.on_policy_reset = self.panel.take, self.panel.forget
         self.records_loaded = False
         self.state_served_at: timedelta | None = None
-        self.state_bad_since: timedelta | None = None
-        nodes = len(platform.peers) + 1
+        self.state_failing_since: timedelta | None = None
+        controllers = len(platform.peers) + 1
         state, cloud = self.cluster.state, self.cluster.cloud
-        self.state_requests = TokenBucket(state.rps / nodes, state.rps / nodes)
-        self.state_writes = TokenBucket(state.write_rps / nodes, state.write_rps / nodes)
-        self.cloud_calls = TokenBucket(cloud.rps / nodes, cloud.rps)
-        #: Acceptances and the ledger take turns at the writes while both want more than there are.
+        self.state_requests = TokenBucket(state.rps / controllers, state.rps / controllers)
+        self.state_writes = TokenBucket(state.write_rps / controllers, state.write_rps / controllers)
+        self.cloud_calls = TokenBucket(cloud.rps / controllers, cloud.rps)
+        #: While both user requests and the state writer lack write budget, they alternate.
         self.users_need_writes = self.state_writer_needs_writes = False
         self.state_writer_first = True
         self._write_share = self.state_writes.rate
-        self._live = nodes
-        self._refused_at: timedelta | None = None
+        self._controller_count = controllers
+        self._rate_limited_at: timedelta | None = None
         self._peer_addrs = {peer.name: peer.peer_addr for peer in platform.peers}
         self._effects: list[Effect] = []
-        self._calls: dict[int, tuple[Handler, Target]] = {}
-        self._next_call = 0
-        #: What the state service's changes went into since the last account, by cause.
-        self._spent: Counter[str] = Counter()
-        self._account_at = ZERO
+        self._pending_calls: dict[int, tuple[ResultHandler, Target]] = {}
+        self._last_call_id = 0
+        #: Writes since the usage was last logged, by cause.
+        self._writes_by_cause: Counter[str] = Counter()
+        self._usage_logged_at = ZERO
 
     def count_writes(self, cause: str, amount: int = 1) -> None:
-        self._spent[cause] += amount
+        """Count writes to the state service for the usage log."""
+        self._writes_by_cause[cause] += amount
 
-    def account(self) -> None:
-        """Log now and then what the changes were used for: they are the scarcest budget."""
-        if self.now - self._account_at < ACCOUNT_EVERY:
+    def log_write_usage(self) -> None:
+        """Periodically log what the writes were used for: they are the scarcest budget."""
+        if self.now - self._usage_logged_at < USAGE_LOG_INTERVAL:
             return
-        self._account_at = self.now
-        if self._spent:
-            parts = ", ".join(f"{cause} {amount}" for cause, amount in self._spent.most_common())
-            log.info("changes in the last %d s: %d: %s", ACCOUNT_EVERY.total_seconds(), self._spent.total(), parts)
-            self._spent.clear()
-
-    def share(self, live: int, leader: bool) -> None:
-        """Divide the state service's and the cloud's budgets among the live controllers."""
+        self._usage_logged_at = self.now
+        if self._writes_by_cause:
+            counts = ", ".join(f"{cause} {amount}" for cause, amount in self._writes_by_cause.most_common())
+            log.info(
+                "state service writes in the last %d s: %d (%s)",
+                USAGE_LOG_INTERVAL.total_seconds(),
+                self._writes_by_cause.total(),
+                counts,
+            )
+            self._writes_by_cause.clear()
+
+    def divide_budgets(self, controllers: int, is_leader: bool) -> None:
+        """Set this controller's share of the state service and cloud budgets."""
         state, cloud = self.cluster.state, self.cluster.cloud
-        part = 0.95 / max(1, live)
-        self.state_requests.set(state.rps * part, state.rps * part)
-        self._live = max(1, live)
-        self.set_write_share(1 / self._live)
-        # Only the leader rents and lists; the others ask for the machine types now and then.
-        few = 0.05 * max(0, live - 1)
-        self.cloud_calls.set(cloud.rps * (0.9 - few if leader else 0.05), cloud.rps if leader else 1.0)
-
-    def set_write_share(self, work: float) -> None:
-        """Most writes are made by the homes of waiting and running jobs: they are shared by how much of all that work
-        (0 to 1) is placed here, the rest evenly. All controllers see nearly the same work, so the shares add up."""
-        even = EVEN / self._live
-        self._write_share = 0.95 * self.cluster.state.write_rps * (even + (1 - EVEN) * work)
+        share = 0.95 / max(1, controllers)
+        self.state_requests.set_rate(state.rps * share, state.rps * share)
+        self._controller_count = max(1, controllers)
+        self.set_write_share(1 / self._controller_count)
+        # Only the leader rents and lists machines; the others occasionally fetch the machine types.
+        others_share = 0.05 * max(0, controllers - 1)
+        self.cloud_calls.set_rate(
+            cloud.rps * (0.9 - others_share if is_leader else 0.05), cloud.rps if is_leader else 1.0
+        )
+
+    def set_write_share(self, work_share: float) -> None:
+        """Set the share of the write budget from this controller's share of all queued and running work (0 to 1).
+
+        Most writes are made by the home controllers of queued and running jobs. All controllers see nearly the same
+        work, so their shares add up to the whole budget.
+        """
+        even_share = EVEN_WRITE_SHARE / self._controller_count
+        self._write_share = 0.95 * self.cluster.state.write_rps * (even_share + (1 - EVEN_WRITE_SHARE) * work_share)
         self.update_write_rate()
 
     def update_write_rate(self) -> None:
-        """Controllers are seldom busy all at once: as long as none is refused, each may use more than its share."""
+        """Update the write rate. Controllers are rarely all busy, so each may exceed its share until rate-limited."""
         state = self.cluster.state
-        most = 0.9 * state.write_rps
-        calm = self._refused_at is None or self.now - self._refused_at > LEND_AFTER
-        share = min(most, self._write_share * (LEND if calm else 1.0))
-        if share != self.state_writes.rate:
-            # Where many share few changes, a second's worth of a share may be less than one transaction: then nothing
-            # that needs several would ever begin. The service allows bursts, and seldom do all want one at once.
-            self.state_writes.set(share, max(share, min(state.txn_ops / 2, state.write_rps / 4)))
+        max_rate = 0.9 * state.write_rps
+        may_borrow = self._rate_limited_at is None or self.now - self._rate_limited_at > WRITE_BORROW_BACKOFF
+        rate = min(max_rate, self._write_share * (WRITE_BORROW_FACTOR if may_borrow else 1.0))
+        if rate != self.state_writes.rate:
+            # With many controllers and a small budget, one second's share may be less than one transaction, and work
+            # that needs several writes would never start. The service allows bursts, and controllers rarely burst at
+            # the same time.
+            self.state_writes.set_rate(rate, max(rate, min(state.txn_ops / 2, state.write_rps / 4)))
 
     # Calls ---------------------------------------------------------------------------------------------------
 
-    def _call(
+    def _start_call(
         self,
         target: Target,
         method: str,
         path: str,
         body: bytes | None,
-        limit: timedelta,
-        then: Handler,
+        timeout: timedelta,
+        on_result: ResultHandler,
         addr: str = "",
     ) -> None:
-        self._next_call += 1
-        self._calls[self._next_call] = (then, target)
-        self._effects.append(OutgoingCall(self._next_call, target, method, path, body, limit, addr))
+        self._last_call_id += 1
+        self._pending_calls[self._last_call_id] = (on_result, target)
+        self._effects.append(OutgoingCall(self._last_call_id, target, method, path, body, timeout, addr))
 
     def call_state(
         self,
         method: str,
         path: str,
         body: bytes | None,
-        then: Handler,
+        on_result: ResultHandler,
         *,
         writes: int = 0,
         urgent: bool = False,
         reserve: float = 4.0,
     ) -> bool:
-        """Ask the state service. False if the budget does not allow it now: ``floor`` requests are left to others;
-        renewals are ``urgent``."""
+        """Call the state service; return False if the budget does not allow it now.
+
+        ``writes`` is the number of writes in the request, ``reserve`` the number of requests to leave for other
+        callers. Urgent calls, such as renewals, ignore the request budget.
+        """
         reserve = 0.0 if urgent else min(reserve, self.state_requests.burst / 4)
         if self.state_requests.available(self.now) < 1 + reserve and not urgent:
             return False
-        if writes and not self.state_writes.take(self.now, writes):
+        if writes and not self.state_writes.try_take(self.now, writes):
             return False
-        self.state_requests.tokens -= 1  # renewals may overdraw
-        self._call(Target.STATE, method, path, body, STATE_LIMIT, then)
+        self.state_requests.tokens -= 1  # urgent calls may make the balance negative
+        self._start_call(Target.STATE, method, path, body, STATE_TIMEOUT, on_result)
         return True
 
-    def min_interval(self, part: float, least: timedelta) -> timedelta:
-        """How long apart requests to the state service are that may take up at most this part of the budget."""
-        return max(least, timedelta(seconds=1 / (part * max(1.0, self.state_requests.rate))))
+    def min_interval(self, share: float, minimum: timedelta) -> timedelta:
+        """Interval between state service requests that keeps them within this share of the request budget."""
+        return max(minimum, timedelta(seconds=1 / (share * max(1.0, self.state_requests.rate))))
 
-    def call_cloud(self, method: str, path: str, body: bytes | None, then: Handler) -> bool:
-        if not self.cloud_calls.take(self.now):
+    def call_cloud(self, method: str, path: str, body: bytes | None, on_result: ResultHandler) -> bool:
+        """Call the cloud API; return False if the budget does not allow it now."""
+        if not self.cloud_calls.try_take(self.now):
             return False
-        self._call(Target.CLOUD, method, path, body, CLOUD_TIMEOUT, then)
+        self._start_call(Target.CLOUD, method, path, body, CLOUD_TIMEOUT, on_result)
         return True
 
-    def post_to_worker(self, addr: str, path: str, body: bytes, then: Handler) -> None:
-        self._call(Target.WORKER, "POST", path, body, WORKER_LIMIT, then, addr)
+    def post_to_worker(self, addr: str, path: str, body: bytes, on_result: ResultHandler) -> None:
+        """Send a POST request to a worker."""
+        self._start_call(Target.WORKER, "POST", path, body, WORKER_TIMEOUT, on_result, addr)
 
-    def get_from_worker(self, addr: str, path: str, then: Handler) -> None:
-        self._call(Target.WORKER, "GET", path, None, WORKER_LIMIT, then, addr)
+    def get_from_worker(self, addr: str, path: str, on_result: ResultHandler) -> None:
+        """Send a GET request to a worker."""
+        self._start_call(Target.WORKER, "GET", path, None, WORKER_TIMEOUT, on_result, addr)
 
-    def call_peer(self, name: str, path: str, body: bytes, then: Handler) -> bool:
-        """Tell a sibling something; False if its address is not known."""
+    def call_peer(self, name: str, path: str, body: bytes, on_result: ResultHandler) -> bool:
+        """Send a POST request to a peer controller; return False if its address is unknown."""
         addr = self._peer_addrs.get(name)
         if addr is None:
             return False
-        self._call(Target.PEER, "POST", path, body, PEER_LIMIT, then, addr)
+        self._start_call(Target.PEER, "POST", path, body, PEER_TIMEOUT, on_result, addr)
         return True
 
-    def answered(self, call: int, status: int, body: bytes) -> None:
-        known = self._calls.pop(call, None)
-        if known is None:
+    def handle_call_result(self, call_id: int, status: int, body: bytes) -> None:
+        """Track the health of the state service and pass the result to the caller's handler."""
+        pending = self._pending_calls.pop(call_id, None)
+        if pending is None:
             return
-        then, target = known
+        on_result, target = pending
         if target is Target.STATE:
             if status in (200, 400, 404, 409, 410):
-                self.state_served_at, self.state_bad_since = self.now, None
+                self.state_served_at, self.state_failing_since = self.now, None
             elif status == 429:
-                self._refused_at = self.now
+                self._rate_limited_at = self.now
                 self.update_write_rate()
-            elif self.state_bad_since is None:
-                self.state_bad_since = self.now
-        then(status, body)
+            elif self.state_failing_since is None:
+                self.state_failing_since = self.now
+        on_result(status, body)
 
-    def unserved(self) -> bool:
-        """Whether the state service's last answer was none, or that it does not serve this controller."""
-        return self.state_bad_since is not None
+    def state_failing(self) -> bool:
+        """Whether the state service has failed to serve this controller since it last did."""
+        return self.state_failing_since is not None
 
     def state_down(self) -> bool:
-        """The state service has not served this controller for a while."""
+        """Whether the state service has never served this controller, or has been failing for more than a second."""
         if self.state_served_at is None:
             return True
-        return self.state_bad_since is not None and self.now - self.state_bad_since > timedelta(seconds=1)
+        return self.state_failing_since is not None and self.now - self.state_failing_since > timedelta(seconds=1)
+
+    # Replies -------------------------------------------------------------------------------------------------
 
-    # Answers -------------------------------------------------------------------------------------------------
+    def reply(self, request_id: int, status: int, body: bytes = b"", retry_after: int | None = None) -> None:
+        """Answer an incoming request."""
+        self._effects.append(Reply(request_id, status, body, retry_after))
 
-    def reply(self, number: int, status: int, body: bytes = b"", retry_after: int | None = None) -> None:
-        self._effects.append(Reply(number, status, body, retry_after))
+    def reply_error(self, request_id: int, status: int, message: str, retry_after: int | None = None) -> None:
+        """Answer an incoming request with an error status and message."""
+        self.reply(request_id, status, encode(ErrorReply(message)), retry_after)
 
-    def reply_error(self, number: int, status: int, why: str, retry_after: int | None = None) -> None:
-        self.reply(number, status, encode(ErrorReply(why)), retry_after)
+    def decode_request(self, request: IncomingRequest, type_: type[MessageT]) -> MessageT | None:
+        """Decode the body of a request from a peer or a worker.
 
-    def decode_request(self, request: IncomingRequest, type_: type[T]) -> T | None:
-        """What another controller or a machine says; None: it is malformed, or of a version that can't be read, and is
-        refused with 400."""
+        Returns None after replying 400 if the body is malformed or of an unsupported version.
+        """
         try:
-            message: T = decode(type_, request.body)
+            message: MessageT = decode(type_, request.body)
         except msgspec.DecodeError as error:
-            log.error("%s: refused what can't be read: %s", request.kind.value, error)
+            log.error("%s request rejected: its body can't be read: %s", request.kind.value, error)
             self.reply_error(request.request_id, 400, str(error))
             return None
         return message
 
-    def effect(self, effect: Effect) -> None:
+    def emit(self, effect: Effect) -> None:
+        """Add an effect to this step's output."""
         self._effects.append(effect)
 
     def take_effects(self) -> list[Effect]:
+        """Return the effects recorded since the last call."""
         effects, self._effects = self._effects, []
         return effects
--- a/src/gladecroft/coordination/core.py
+++ b/src/gladecroft/coordination/core.py
@@ -1,4 +1,4 @@
-"""The one owner of all in-process state: (time, events) in, effects out."""
+"""The core: sole owner of the in-process state, turning time and events into effects."""
 
 from __future__ import annotations
 
@@ -34,6 +34,8 @@
 
 
 class Core:
+    """Wires the components of a controller together and dispatches events to them."""
+
     def __init__(self, platform: PlatformSettings, operator_settings: OperatorSettings) -> None:
         self.context = ControllerContext(platform, operator_settings)
         self.membership = Membership(self.context)
@@ -44,13 +46,13 @@
         self.autoscaler = Autoscaler(
             self.context, self.membership, self.machine_manager, self.state_writer, self.scheduler
         )
-        #: None: it is switched off.
+        #: None if admission control is disabled.
         self.admission: AdmissionControl | None = None
         if operator_settings.admission:
-            patience = self.scheduler.ordering.target_wait
-            most_jobs = int(JOBS_PER_MB * self.context.cluster.limits.memory_mb)
+            target_wait = self.scheduler.ordering.target_wait
+            max_jobs = int(JOBS_PER_MB * self.context.cluster.limits.memory_mb)
             self.admission = AdmissionControl(
-                self.context, self.membership, self.autoscaler.capacity, patience, most_jobs
+                self.context, self.membership, self.autoscaler.capacity, target_wait, max_jobs
             )
             self.scheduler.current_tiers = self.admission.tiers
         self.users = UserRequestHandler(self.context, self.membership, self.scheduler.infeasible_reason)
@@ -60,7 +62,7 @@
         self.operator_commands = OperatorCommands(self.context, self.membership, self.state_writer)
 
     def step(self, clock: ClockReading, events: list[Event]) -> list[Effect]:
-        """Take in a batch of events and say what is to be done."""
+        """Process a batch of events and return the effects to carry out."""
         context = self.context
         context.now, context.wall_time = clock.monotonic, clock.wall
         if context.panel is not None:
@@ -69,15 +71,15 @@
             try:
                 self._handle_event(event)
             except Exception:
-                # One message that trips a fault must not end the controller: what matters is in the state service.
-                log.exception("fault while handling %s", type(event).__name__)
+                # A bug triggered by one event must not stop the controller: the durable state is in the state service.
+                log.exception("unexpected error while handling %s", type(event).__name__)
                 if isinstance(event, IncomingRequest):
                     context.reply_error(event.request_id, 500, "internal fault")
-            # At once, not at the end of the batch: a report handled between the news of an epoch and what follows
-            # from it would be judged by what held before, and its machine's ownership dated too early.
-            self._follow_epoch()
+            # After each event, not at the end of the batch: otherwise a report that follows a new epoch in the same
+            # batch would be handled under the old one, and the ownership of its machine dated too early.
+            self._apply_epoch_change()
         self.membership.tick()
-        self._follow_epoch()
+        self._apply_epoch_change()
         self.consent.tick()
         self.users.tick()
         if context.panel is not None:
@@ -85,25 +87,27 @@
         self.machine_manager.check_silence()
         self.autoscaler.tick()
         if self.admission is not None:
-            self._agree(self.admission)
+            self._tick_admission(self.admission)
         self.state_writer.exit_tracker.notify_homes()
         self.state_writer.flush()
         self.machine_manager.push_commands()
-        self.context.account()
+        self.context.log_write_usage()
         return context.take_effects()
 
     @staticmethod
-    def _agree(admission: AdmissionControl) -> None:
+    def _tick_admission(admission: AdmissionControl) -> None:
         try:
             admission.tick()
         except Exception:
-            # It says who comes first; no rule rests on it, and a fault in it must not end the controller.
-            log.exception("fault while agreeing on shares")
+            # Admission control only sets priorities; no invariant depends on it, so an error here must not stop the
+            # controller.
+            log.exception("unexpected error in admission control")
 
-    def _follow_epoch(self) -> None:
-        self.membership.see_epoch()
-        if self.membership.changed:
-            self.membership.changed = False
+    def _apply_epoch_change(self) -> None:
+        """Notify the components if the epoch has changed."""
+        self.membership.detect_epoch_change()
+        if self.membership.epoch_change_pending:
+            self.membership.epoch_change_pending = False
             self.consent.epoch_changed()
             self.state_writer.epoch_changed(self.membership.epoch_continuous)
             self.machine_manager.epoch_changed(self.membership.epoch_continuous)
@@ -114,13 +118,13 @@
 
     def _handle_event(self, event: Event) -> None:
         if isinstance(event, CallResult):
-            self.context.answered(event.call, event.status, event.body)
+            self.context.handle_call_result(event.call_id, event.status, event.body)
         elif isinstance(event, WatchResult):
-            self.membership.watched(event)
+            self.membership.handle_watch_result(event)
         else:
-            self._asked(event)
+            self._handle_request(event)
 
-    def _asked(self, request: IncomingRequest) -> None:
+    def _handle_request(self, request: IncomingRequest) -> None:
         if request.kind is RequestKind.REPORT:
             self.machine_manager.handle_report(request)
         elif request.kind is RequestKind.HEALTH:
@@ -135,11 +139,11 @@
         elif request.kind is RequestKind.QUERY_REPORTING:
             self.machine_manager.misrouted.handle_reporting_query(request)
         elif request.kind is RequestKind.CONSENT:
-            self.consent.asked(request)
+            self.consent.handle_request(request)
         elif request.kind is RequestKind.LIST_CORDONS:
-            self.operator_commands.show(request)
+            self.operator_commands.list_cordons(request)
         elif request.kind is RequestKind.CHANGE_CORDON:
-            self.operator_commands.asked(request)
+            self.operator_commands.change_cordon(request)
         elif request.kind is RequestKind.ADMISSION:
             self._show_admission(request)
         elif request.kind is RequestKind.VIEW:
@@ -156,12 +160,14 @@
             self.context.reply(request.request_id, 200, encode(self.admission.show()))
 
     def healthy(self) -> bool:
-        # In an outage for all no other controller would serve users better; the one who alone is refused steps aside.
-        served = not self.context.state_down() or self.consent.outage()
-        return self.context.records_loaded and served and bool(self.scheduler.types)
+        """Whether this controller should receive user requests."""
+        # In an outage that affects all controllers, another one would not serve users better. If only this controller
+        # can't use the state service, users are better served by another.
+        state_usable = not self.context.state_down() or self.consent.outage_confirmed()
+        return self.context.records_loaded and state_usable and bool(self.scheduler.types)
 
     def view(self) -> dict[str, Any]:
-        """This controller's own view, for operators; no jobs in it."""
+        """A summary of this controller's state for operators; job details are not included."""
         epoch = self.membership.epoch
         machines = [
             name
--- a/src/gladecroft/coordination/events.py
+++ b/src/gladecroft/coordination/events.py
@@ -1,4 +1,4 @@
-"""What goes into the core (events) and what comes out of it (effects)."""
+"""Input events and output effects of the core."""
 
 from __future__ import annotations
 
@@ -11,29 +11,32 @@
 
 
 class RequestKind(Enum):
+    """What an incoming request asks for."""
+
     SUBMIT = "submit"
     POLL = "poll"
     CANCEL = "cancel"
     HEALTH = "health"
     REPORT = "report"
     VIEW = "view"
-    #: An operator asks for the cordons, or sets or lifts one.
+    #: An operator lists the cordons.
     LIST_CORDONS = "cordons"
+    #: An operator sets or lifts a cordon.
     CHANGE_CORDON = "cordon"
-    #: An operator asks what is agreed on shares.
+    #: An operator asks for the state of admission control.
     ADMISSION = "admission"
-    #: A sibling tells of attempts that are proven gone.
+    #: A peer announces attempts that are confirmed to have ended.
     ATTEMPTS_ENDED = "ended"
-    #: A sibling tells of machines that have reported to it.
+    #: A peer announces machines that have reported to it.
     MACHINES_REPORTED = "heard"
-    #: A sibling asks which of some machines report here.
+    #: A peer asks which of the given machines report to this controller.
     QUERY_REPORTING = "hears"
-    #: A sibling asks for consent to go on without the state service.
+    #: A peer asks for consent to keep answering its machines while the state service is down.
     CONSENT = "consent"
 
 
 class IncomingRequest(msgspec.Struct):
-    """A request that waits for an answer under its number."""
+    """An incoming request; its reply carries the same id."""
 
     request_id: int
     kind: RequestKind
@@ -42,15 +45,15 @@
 
 
 class CallResult(msgspec.Struct):
-    """The answer to a call; status 0: unknown outcome, -1: certainly not sent."""
+    """The result of an outgoing call. Status 0: the outcome is unknown; -1: the call was certainly not sent."""
 
-    call: int
+    call_id: int
     status: int
     body: bytes = b""
 
 
 class WatchResult(msgspec.Struct):
-    """What a watch brought. ``gap``: the changes since are lost and everything is to be read again."""
+    """The result of a watch. ``gap``: changes were missed, so all records must be read again."""
 
     reply: WatchReply | None = None
     gap: bool = False
@@ -61,6 +64,8 @@
 
 
 class Target(Enum):
+    """The kind of process that an outgoing call goes to."""
+
     STATE = "state"
     CLOUD = "cloud"
     WORKER = "worker"
@@ -68,6 +73,8 @@
 
 
 class Reply(msgspec.Struct):
+    """Effect: answer an incoming request."""
+
     request_id: int
     status: int
     body: bytes = b""
@@ -75,6 +82,8 @@
 
 
 class OutgoingCall(msgspec.Struct):
+    """Effect: send an HTTP request and return its result as an event."""
+
     call_id: int
     target: Target
     method: str
@@ -85,7 +94,7 @@
 
 
 class StartWatch(msgspec.Struct):
-    """Open a watch (one at a time) from this revision on."""
+    """Effect: open a watch for changes after this revision. At most one watch is open at a time."""
 
     after: int
 
@@ -94,32 +103,35 @@
 
 
 class ClockReading(msgspec.Struct, frozen=True):
+    """A reading of the monotonic clock and the wall clock."""
+
     monotonic: timedelta
     wall: datetime
 
 
-#: What users ask for, the most pressing first.
-USERS_ASK = (RequestKind.CANCEL, RequestKind.POLL, RequestKind.SUBMIT)
+#: Requests from users, most urgent first.
+USER_REQUEST_PRIORITY = (RequestKind.CANCEL, RequestKind.POLL, RequestKind.SUBMIT)
 
 
 def user_requests_last(events: list[Event]) -> list[Event]:
-    """The events of a batch with what users ask for last: cancellations, polls, submissions. Others keep their order.
+    """Sort user requests behind all other events: cancellations, then polls, then submissions.
 
-    In a flood of submissions reports, renewals and cancellations are not to wait behind it.
+    During a burst of submissions, reports, renewals and cancellations must not wait behind it. All other events keep
+    their order.
     """
-    asked: dict[RequestKind, list[Event]] = {}
+    user_requests: dict[RequestKind, list[Event]] = {}
     others: list[Event] = []
     for event in events:
-        if isinstance(event, IncomingRequest) and event.kind in USERS_ASK:
-            asked.setdefault(event.kind, []).append(event)
+        if isinstance(event, IncomingRequest) and event.kind in USER_REQUEST_PRIORITY:
+            user_requests.setdefault(event.kind, []).append(event)
         else:
             others.append(event)
-    for verb in USERS_ASK:
-        others += asked.get(verb, ())
+    for kind in USER_REQUEST_PRIORITY:
+        others += user_requests.get(kind, ())
     return others
 
 
 __all__ = [
-    "CallResult", "IncomingRequest", "OutgoingCall", "ClockReading", "Effect", "Event", "Reply",
-    "Report", "Target", "RequestKind", "StartWatch", "WatchResult", "user_requests_last",
+    "CallResult", "IncomingRequest", "OutgoingCall", "ClockReading", "Effect", "Event", "Reply", "Report", "Target",
+    "RequestKind", "StartWatch", "WatchResult", "user_requests_last",
 ]  # fmt: skip
--- a/src/gladecroft/coordination/membership/__init__.py
+++ b/src/gladecroft/coordination/membership/__init__.py
@@ -1,7 +1,7 @@
-"""Which controllers live, who leads, who owns which machine, and until when this one may act."""
+"""Membership of the controller group: epochs, leader, machine ownership, and whether this controller is active."""
 
-from gladecroft.coordination.membership.assignment import by_hash
-from gladecroft.coordination.membership.epochs import fitting
+from gladecroft.coordination.membership.assignment import rendezvous_hash
+from gladecroft.coordination.membership.epochs import fit_to_size
 from gladecroft.coordination.membership.membership import Membership
 
-__all__ = ["Membership", "by_hash", "fitting"]
+__all__ = ["Membership", "rendezvous_hash", "fit_to_size"]
--- a/src/gladecroft/coordination/membership/assignment.py
+++ b/src/gladecroft/coordination/membership/assignment.py
@@ -1,4 +1,4 @@
-"""How machines and teams are shared out among the members of an epoch."""
+"""Assignment of machines and teams to the members of an epoch."""
 
 from __future__ import annotations
 
@@ -11,41 +11,44 @@
 
 
 @lru_cache(maxsize=8192)
-def _weight(member: str, thing: str) -> bytes:
-    return blake2b(f"{member} {thing}".encode(), digest_size=8).digest()
+def _weight(member: str, key: str) -> bytes:
+    return blake2b(f"{member} {key}".encode(), digest_size=8).digest()
 
 
-def by_hash(members: list[str], thing: str) -> str:
-    """Highest random weight: a member that goes moves only what was its own."""
-    return max(members, key=lambda member: _weight(member, thing))
+def rendezvous_hash(members: list[str], key: str) -> str:
+    """Rendezvous hashing: when a member leaves, only its own keys are reassigned."""
+    return max(members, key=lambda member: _weight(member, key))
 
 
 class Assignment:
-    """``zones``: the zone of each controller."""
+    """Assigns machines to owners and teams to home controllers.
+
+    ``zones`` maps each controller to its zone.
+    """
 
     def __init__(self, cluster_state: ClusterState, zones: dict[str, str]) -> None:
         self.cluster_state = cluster_state
         self.team_homes: dict[str, str] = {}
         self._zones = zones
         self._members: list[str] = []
-        self._by_zone: dict[str, list[str]] = {}
-        self._owners: dict[tuple[str, str], str] = {}
+        self._members_by_zone: dict[str, list[str]] = {}
+        self._owner_cache: dict[tuple[str, str], str] = {}
 
-    def follow(self, epoch: rec.EpochRecord | None) -> None:
-        """Share out anew for this epoch."""
+    def apply_epoch(self, epoch: rec.EpochRecord | None) -> None:
+        """Recompute the assignment for a new epoch."""
         self._members = sorted(epoch.members) if epoch else []
-        self._by_zone = {}
+        self._members_by_zone = {}
         for name in self._members:
-            self._by_zone.setdefault(self._zones.get(name) or "?", []).append(name)
-        self._owners.clear()
+            self._members_by_zone.setdefault(self._zones.get(name) or "?", []).append(name)
+        self._owner_cache.clear()
         self.assign_teams()
 
     def owner(self, machine: str, zone: str | None = None) -> str | None:
-        """Whose part the machine is in: a controller of its own zone if there is one, so that zones which can't
-        reach each other go on working inside. ``zone`` serves for machines that are not known yet.
+        """The controller that owns a machine: one in the machine's zone if possible, so that zones keep working when
+        they can't reach each other. ``zone`` is used for machines that have no record yet.
 
-        Of a machine whose zone is not known nobody is the owner. If such a one were taken for its owner it would sooner
-        or later call the machine's work lost, while the true owner goes on answering it.
+        A machine whose zone is unknown has no owner. A controller that took itself for the owner would eventually
+        declare the machine's work lost while the actual owner still answers the machine.
         """
         epoch = self.cluster_state.epoch
         if epoch is None or not epoch.members:
@@ -53,33 +56,36 @@
         moved = epoch.moved.get(machine)
         if moved in epoch.members:
             return moved
-        known = self.cluster_state.machines.get(machine)
-        if known is None and zone is None:
+        machine_record = self.cluster_state.machines.get(machine)
+        if machine_record is None and zone is None:
             return None
-        where = (machine, known.zone if known is not None else zone or "")
-        owner = self._owners.get(where)
+        cache_key = (machine, machine_record.zone if machine_record is not None else zone or "")
+        owner = self._owner_cache.get(cache_key)
         if owner is None:
-            if len(self._owners) > 4 * len(self.cluster_state.machines) + 1000:
-                self._owners.clear()
-            near = self._by_zone.get(where[1])
-            owner = self._owners[where] = by_hash(near or self._members, machine)
+            if len(self._owner_cache) > 4 * len(self.cluster_state.machines) + 1000:
+                self._owner_cache.clear()
+            local_members = self._members_by_zone.get(cache_key[1])
+            owner = self._owner_cache[cache_key] = rendezvous_hash(local_members or self._members, machine)
         return owner
 
     def home(self, team: str) -> str | None:
-        """The controller that places the tasks of a team's jobs: one for the whole team, so that its limit and the
-        order of its jobs are not fought over. Gangs go to the leader, and with them all that their team has."""
+        """The controller that places the tasks of a team's jobs.
+
+        There is one per team, so that controllers do not compete over the team's limit and the order of its jobs. The
+        leader places gangs, and with them all other jobs of a team that has any.
+        """
         if self.cluster_state.gang_count_by_team.get(team):
             return self.cluster_state.epoch.leader if self.cluster_state.epoch is not None else None
         home = self.team_homes.get(team)
         if home is None and self._members:
-            home = by_hash(self._members, team)
+            home = rendezvous_hash(self._members, team)
         return home
 
     def assign_teams(self) -> None:
-        """Give each team its home by hash, but no controller more than its share of the teams.
+        """Assign each team a home controller by hash, spreading the teams evenly.
 
-        A team that is the only one has its home at the leader: who rents and returns machines then knows at once which
-        work has ended, though the records don't say so yet.
+        If there is only one team, the leader is its home: the controller that rents and returns machines then knows at
+        once which work has ended, before the records say so.
         """
         self.team_homes = {}
         epoch = self.cluster_state.epoch
@@ -88,21 +94,21 @@
         if len(self.cluster_state.limits) == 1:
             self.team_homes = dict.fromkeys(self.cluster_state.limits, epoch.leader)
             return
-        most = -(-len(self.cluster_state.limits) // len(self._members))
-        held = dict.fromkeys(self._members, 0)
+        max_teams = -(-len(self.cluster_state.limits) // len(self._members))
+        team_counts = dict.fromkeys(self._members, 0)
         for team in sorted(self.cluster_state.limits):
-            home = by_hash([member for member in self._members if held[member] < most], team)
+            home = rendezvous_hash([member for member in self._members if team_counts[member] < max_teams], team)
             self.team_homes[team] = home
-            held[home] += 1
+            team_counts[home] += 1
 
     def job_home(self, spec: JobSpec) -> str | None:
-        """The controller that places this job's tasks; gangs go whole to the leader."""
+        """The controller that places this job's tasks: the leader for a gang, else the home of the team."""
         if spec.kind is JobKind.GANG:
             return self.cluster_state.epoch.leader if self.cluster_state.epoch is not None else None
         return self.home(spec.team)
 
-    def of_use(self, machine: str) -> bool:
-        """Whether a machine that was moved is still there."""
+    def still_exists(self, machine: str) -> bool:
+        """Whether a moved machine still exists or still has tasks."""
         use = self.cluster_state.restricted_machines.get(machine, rec.MachineUse.UP)
         if use in (rec.MachineUse.RETURNED, rec.MachineUse.RETURNING):
             return machine in self.cluster_state.tasks_by_machine
--- a/src/gladecroft/coordination/membership/epochs.py
+++ b/src/gladecroft/coordination/membership/epochs.py
@@ -1,4 +1,4 @@
-"""What the next epoch is to be, and who proposes it when, as functions over records."""
+"""Contents of the next epoch record, and when each member proposes it, as pure functions."""
 
 from __future__ import annotations
 
@@ -10,50 +10,60 @@
 from gladecroft.bookkeeping import records as rec
 from gladecroft.coordination.context import RETRY_DELAY
 
-#: How long newcomers wait for each other before they propose an epoch.
-NEXT = timedelta(seconds=0.3)
+#: Delay between the proposals of joining members.
+JOINING_MEMBER_DELAY = timedelta(seconds=0.3)
 
 
-def _by_age(old: Mapping[str, int], live: Mapping[str, int]) -> list[str]:
-    """The live members, those who were there before first."""
-    return sorted(live, key=lambda name: (old.get(name) != live[name], live[name]))
+def _by_seniority(previous: Mapping[str, int], members: Mapping[str, int]) -> list[str]:
+    """The live members: those of the previous epoch first, then by incarnation."""
+    return sorted(members, key=lambda name: (previous.get(name) != members[name], members[name]))
 
 
-def turn(name: str, epoch: rec.EpochRecord | None, live: Mapping[str, int]) -> timedelta:
-    """How long a member waits for others before it proposes the next epoch. ``live``: incarnations by member."""
-    old = epoch.members if epoch is not None else {}
-    order = _by_age(old, live)
-    newcomers = [each for each in order if old.get(each) != live[each]]
-    if name in newcomers:
-        # Those who were there before come first, but may be dead with their leases still running. After a crash of
-        # all, leases of machines run out in the second that it takes until the last has come back.
-        return (1 + newcomers.index(name)) * NEXT
+def proposal_delay(name: str, epoch: rec.EpochRecord | None, members: Mapping[str, int]) -> timedelta:
+    """How long a member waits for others to propose the next epoch before it does so itself.
+
+    ``members`` maps each live member to its incarnation.
+    """
+    previous = epoch.members if epoch is not None else {}
+    order = _by_seniority(previous, members)
+    joining = [each for each in order if previous.get(each) != members[each]]
+    if name in joining:
+        # Members of the previous epoch go first, but may have crashed while their leases are still valid. After a crash
+        # of all controllers, machine leases expire during the second until the last one is back, so joining members
+        # must not wait long.
+        return (1 + joining.index(name)) * JOINING_MEMBER_DELAY
     return order.index(name) * 2 * RETRY_DELAY
 
 
 def next_epoch(
     epoch: rec.EpochRecord | None,
-    live: dict[str, int],
+    members: dict[str, int],
     moves: Mapping[str, str],
-    of_use: Callable[[str], bool],
+    still_exists: Callable[[str], bool],
 ) -> rec.EpochRecord:
-    """The epoch after this one. The leader stays if it lives; so do moved machines that are ``of_use`` still."""
-    old = epoch.members if epoch is not None else {}
+    """The record that follows ``epoch``.
+
+    The leader stays if it is still live in the same incarnation. Moved machines stay with their owners while both
+    still exist; ``moves`` is added.
+    """
+    previous = epoch.members if epoch is not None else {}
     leader = (
-        epoch.leader if epoch is not None and live.get(epoch.leader) == old.get(epoch.leader) else _by_age(old, live)[0]
+        epoch.leader
+        if epoch is not None and members.get(epoch.leader) == previous.get(epoch.leader)
+        else _by_seniority(previous, members)[0]
     )
-    kept = {name: to for name, to in (epoch.moved if epoch else {}).items() if live.get(to, -1) == old.get(to)}
-    kept = {name: to for name, to in {**kept, **moves}.items() if name in moves or of_use(name)}
-    return rec.EpochRecord((epoch.number if epoch else 0) + 1, leader, live, kept)
+    kept = {name: to for name, to in (epoch.moved if epoch else {}).items() if members.get(to, -1) == previous.get(to)}
+    kept = {name: to for name, to in {**kept, **moves}.items() if name in moves or still_exists(name)}
+    return rec.EpochRecord((epoch.number if epoch else 0) + 1, leader, members, kept)
 
 
-def fitting(record: rec.EpochRecord, most: int) -> rec.EpochRecord:
-    """The record with as many of its moved machines, the latest, as fit into a value of so many bytes."""
+def fit_to_size(record: rec.EpochRecord, max_bytes: int) -> rec.EpochRecord:
+    """Drop the oldest moved machines until the encoded record fits into ``max_bytes``."""
     moved = list(record.moved.items())
     size = len(msgspec.json.encode(record))
-    drop = 0
-    while size > most and drop < len(moved):
-        name, to = moved[drop]
+    dropped = 0
+    while size > max_bytes and dropped < len(moved):
+        name, to = moved[dropped]
         size -= len(msgspec.json.encode(name)) + len(msgspec.json.encode(to)) + 2
-        drop += 1
-    return msgspec.structs.replace(record, moved=dict(moved[drop:])) if drop else record
+        dropped += 1
+    return msgspec.structs.replace(record, moved=dict(moved[dropped:])) if dropped else record
--- a/src/gladecroft/coordination/membership/membership.py
+++ b/src/gladecroft/coordination/membership/membership.py
@@ -1,9 +1,11 @@
-"""Which controllers live, who leads, who owns which machine, and until when this one may act.
+"""Membership of the controller group: epochs, leader, machine ownership, and whether this controller is active.
 
-A controller's member key hangs on a state lease. Any change among the member keys is followed by a new epoch
-record; every other commit is conditional on that record, so what rests on an older epoch fails. The right to act
-rests on *good renewals*: the lease was renewed, a compare-only commit showed that epoch and member key stand as
-this controller knows them, and the picture has caught up with the revision that this commit told.
+Each controller's member key is attached to a lease in the state service. Every change to the member keys is followed by
+a new epoch record. All other commits are conditional on that record, so a commit based on an older epoch fails.
+
+A controller is *active*, which means that it may act, for one member lease after a *confirmed renewal*: the lease was
+renewed, a commit of comparisons only showed that the epoch and the member key are as this controller knows them, and
+its cluster state has reached the revision which that commit returned.
 """
 
 from __future__ import annotations
@@ -17,27 +19,31 @@
 from gladecroft.coordination.context import CLOCK_SKEW_FACTOR, RETRY_DELAY, ControllerContext
 from gladecroft.coordination.events import StartWatch, WatchResult
 from gladecroft.coordination.membership.assignment import Assignment
-from gladecroft.coordination.membership.epochs import fitting, next_epoch, turn
+from gladecroft.coordination.membership.epochs import fit_to_size, next_epoch, proposal_delay
 from gladecroft.coordination.membership.record_loader import RecordLoader
 from gladecroft.protocol import wire
 
 log = logging.getLogger(__name__)
 
+#: Bits of a fencing token below the epoch number.
 TOKEN_BITS = 24
-#: An epoch in which only machines move comes at the earliest so long after the one before: one for many machines.
-MOVES_APART = timedelta(seconds=1.5)
-STUCK = timedelta(seconds=2.5)
-#: Within this a wish for a machine is met, or it is formed anew.
-WISHES_LAST = timedelta(seconds=5)
-#: For a moment nobody is entitled with each new epoch, until the watch has brought it: no break in what a controller
-#: knows.
-MOMENT = timedelta(seconds=1)
-WATCH_APART = timedelta(milliseconds=100)
-#: At most this part of a controller's requests goes into watches.
-WATCHES = 1 / 5
+#: Minimum time before an epoch that only moves machines, so that many moves share one epoch.
+MIN_MOVE_EPOCH_INTERVAL = timedelta(seconds=1.5)
+#: A renewal unconfirmed for this long is logged as a lagging watch.
+WATCH_LAG_WARNING = timedelta(seconds=2.5)
+#: A move request that has not been granted after this time is dropped; it has to be made again.
+MOVE_REQUEST_TTL = timedelta(seconds=5)
+#: With each new epoch no controller is active until the watch has delivered it. A gap up to this length does not count
+#: as an interruption, as no information is lost in it.
+MAX_INACTIVE_GAP = timedelta(seconds=1)
+MIN_WATCH_INTERVAL = timedelta(milliseconds=100)
+#: Maximum fraction of a controller's request budget that is spent on watches.
+WATCH_REQUEST_SHARE = 1 / 5
 
 
 class Membership:
+    """Joins this controller to the group, keeps its membership, and proposes new epochs."""
+
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
         self.cluster_state = context.cluster_state
@@ -46,38 +52,38 @@
         self.owner = self.assignment.owner
         self.home = self.assignment.home
         self.job_home = self.assignment.job_home
-        self.listing = RecordLoader(context, self.tick)
-        self.lease: int | None = None
+        self.record_loader = RecordLoader(context, self.tick)
+        self.lease_id: int | None = None
         self.incarnation: int | None = None
         self.epoch_seen_at = timedelta()
-        self.changed = False
-        #: Whether the present epoch follows the one known before it, with this incarnation in both.
+        self.epoch_change_pending = False
+        #: Whether the current epoch directly follows the last one seen, with the same incarnation of this controller.
         self.epoch_continuous = False
         self._epoch_incarnation: int | None = None
-        #: Until when this controller may act, and when the renewal was sent on which that rests.
+        #: Until when this controller may act, and when the renewal behind that was sent.
         self.active_until = timedelta(days=-1)
         self.renewed_at = timedelta(days=-1)
-        self._newest = -1
-        self._entitled_since = timedelta()
-        self._entitled_at = timedelta(days=-1)
-        self._credits: list[tuple[timedelta, int]] = []
+        self._newest_epoch = -1
+        self._active_since = timedelta()
+        self._last_active_at = timedelta(days=-1)
+        self._pending_renewals: list[tuple[timedelta, int]] = []
         self._last_renewal_at = timedelta(days=-1)
-        self._asking: dict[str, timedelta] = {}
+        self._next_attempt_at: dict[str, timedelta] = {}
         self._watch_open = False
-        self._watch_next = timedelta()
-        self._mismatch_since: timedelta | None = None
-        self._known_epoch = -1
-        #: Machines that are to move here, the owners from which they are, and since when.
+        self._next_watch_at = timedelta()
+        self._epoch_outdated_since: timedelta | None = None
+        self._last_seen_epoch = -1
+        #: Machines requested by this controller, with their owner at that time and when they were requested.
         self._move_requests: dict[str, tuple[str | None, timedelta]] = {}
 
-    # Questions -----------------------------------------------------------------------------------------------
+    # Queries -------------------------------------------------------------------------------------------------
 
     @property
     def epoch(self) -> rec.EpochRecord | None:
         return self.cluster_state.epoch
 
     def is_member(self) -> bool:
-        """In the epoch, with this incarnation."""
+        """Whether the current epoch includes this incarnation of this controller."""
         epoch = self.cluster_state.epoch
         return (
             epoch is not None
@@ -86,28 +92,30 @@
         )
 
     def is_active(self) -> bool:
-        entitled = self._has_authority()
-        if entitled:
-            if self.context.now - self._entitled_at > MOMENT:
-                self._entitled_since = self.context.now
-            self._entitled_at = self.context.now
-        return entitled
-
-    def active_for(self, span: timedelta) -> bool:
-        """Whether this controller has been entitled for that long, but for the moment that each epoch takes.
-
-        When each epoch counted as a break, the first machine that moved off an owner which its workers could not reach
-        kept all others from moving for six seconds, and some were lost to their leases.
+        """Whether this controller may act now. Also records since when it has been active."""
+        active = self._has_authority()
+        if active:
+            if self.context.now - self._last_active_at > MAX_INACTIVE_GAP:
+                self._active_since = self.context.now
+            self._last_active_at = self.context.now
+        return active
+
+    def active_for(self, duration: timedelta) -> bool:
+        """Whether this controller has been active for this duration, ignoring the short gap at each new epoch.
+
+        When each new epoch counted as an interruption, the first machine that moved away from an owner which its
+        workers could not reach blocked all other moves for six seconds, and some machines were lost when their leases
+        expired.
         """
-        return self.is_active() and self.context.now - self._entitled_since >= span
+        return self.is_active() and self.context.now - self._active_since >= duration
 
     def _has_authority(self) -> bool:
-        # The epoch may be known (by a direct read) before the changes that precede it: acting on that mix could
-        # start an attempt again whose end a former owner has committed. So the watch must have reached the epoch.
+        # A direct read may deliver the epoch before the changes that precede it. Acting on that mix could restart an
+        # attempt whose exit a former owner has committed, so the watch must have reached the epoch.
         return self.caught_up() and self.context.now < self.active_until
 
     def caught_up(self) -> bool:
-        """In the epoch, and with a picture that has reached it."""
+        """Whether this controller is a member and its cluster state has reached the current epoch."""
         return (
             self.context.records_loaded
             and self.is_member()
@@ -115,12 +123,13 @@
         )
 
     def newest_epoch(self) -> int:
-        """The number of the newest epoch ever known here; listing all records anew forgets none."""
+        """The highest epoch number ever known here; it survives reloading the records."""
         if self.cluster_state.epoch is not None:
-            self._newest = max(self._newest, self.cluster_state.epoch.number)
-        return self._newest
+            self._newest_epoch = max(self._newest_epoch, self.cluster_state.epoch.number)
+        return self._newest_epoch
 
     def is_leader(self) -> bool:
+        """Whether this controller is the leader and active."""
         return (
             self.is_active()
             and self.cluster_state.epoch is not None
@@ -128,62 +137,67 @@
         )
 
     def base_token(self) -> int:
+        """The first fencing token of the current epoch."""
         return 0 if self.cluster_state.epoch is None else self.cluster_state.epoch.number << TOKEN_BITS
 
     def request_move(self, machine: str) -> None:
-        """This controller alone hears the machine; ask for it with the next epoch."""
+        """Request in the next epoch a machine that only this controller can reach."""
         self._move_requests[machine] = (self.owner(machine), self.context.now)
 
-    def _keep_wishes(self) -> None:
-        """Drop wishes for machines that have moved since, and old ones."""
+    def _prune_move_requests(self) -> None:
+        """Drop move requests that have expired or whose machine has changed its owner."""
         self._move_requests = {
             name: (owner, since)
             for name, (owner, since) in self._move_requests.items()
-            if self.owner(name) == owner and self.context.now - since < WISHES_LAST
+            if self.owner(name) == owner and self.context.now - since < MOVE_REQUEST_TTL
         }
 
-    # Work ----------------------------------------------------------------------------------------------------
+    # Protocol ------------------------------------------------------------------------------------------------
 
     def tick(self) -> None:
+        """Load the records, then keep the watch, the lease, the member key and the epoch up to date."""
         context = self.context
         if not context.records_loaded:
-            self.listing.load()
+            self.record_loader.load()
             return
-        if not self._watch_open and context.now >= self._watch_next:
+        if not self._watch_open and context.now >= self._next_watch_at:
             self._watch_open = True
-            # Where there are many, what a tenth of a second brings comes together: each answer wakes the process, which
-            # costs more than what is in it.
-            self._watch_next = context.now + context.min_interval(WATCHES, WATCH_APART)
-            context.state_requests.take(context.now)
-            context.effect(StartWatch(self.cluster_state.revision))
-        if self.lease is None:
-            self._get_lease()
+            # Changes within a tenth of a second are delivered together: waking the process for each watch result costs
+            # more than processing its contents.
+            self._next_watch_at = context.now + context.min_interval(WATCH_REQUEST_SHARE, MIN_WATCH_INTERVAL)
+            context.state_requests.try_take(context.now)
+            context.emit(StartWatch(self.cluster_state.revision))
+        if self.lease_id is None:
+            self._acquire_lease()
         elif self.incarnation is None:
             self._join()
         elif context.now - self._last_renewal_at >= context.member_ttl / 5:
             self._renew()
-        self.see_epoch()
-        self._propose()
+        self.detect_epoch_change()
+        self._propose_epoch()
 
-    def _ready(self, what: str) -> bool:
-        """Whether to ask for this (again) now."""
-        if self.context.now < self._asking.get(what, timedelta(days=-1)):
+    def _may_attempt(self, operation: str) -> bool:
+        """Whether to attempt this operation now; if so, the next attempt is delayed."""
+        if self.context.now < self._next_attempt_at.get(operation, timedelta(days=-1)):
             return False
-        self._asking[what] = self.context.now + 3 * RETRY_DELAY
+        self._next_attempt_at[operation] = self.context.now + 3 * RETRY_DELAY
         return True
 
-    def watched(self, event: WatchResult) -> None:
+    def handle_watch_result(self, event: WatchResult) -> None:
+        """Apply the changes, or start over if some were missed."""
         self._watch_open = False
         if event.gap:
-            # The picture can't be caught up by changes: read everything again from nothing, and join anew, as one that
-            # was started again does. What was known of machines and ends is forgotten: in the same epoch an attempt
-            # whose end was told to its home could have been started again, and machines whose token had been raised
-            # would have been refused until the next epoch.
-            log.error("the watch lost its place at revision %d: reading all records again", self.cluster_state.revision)
+            # Changes were missed, so read all records again and rejoin with a new incarnation, as after a restart.
+            # What was known about machines and exits is lost as well. If the epoch stayed the same, an attempt whose
+            # exit was already reported to its home controller could be started again, and machines whose token had been
+            # raised would be rejected until the next epoch.
+            log.error(
+                "watch: changes after revision %d were missed, reloading all records", self.cluster_state.revision
+            )
             self.cluster_state.reset()
             self.context.records_loaded = False
-            self.listing.start_again()
-            self._known_epoch = -1
+            self.record_loader.restart()
+            self._last_seen_epoch = -1
             self._leave()
         elif event.reply is not None:
             for entry in event.reply.events:
@@ -192,186 +206,192 @@
                 elif entry.delete is not None:
                     self.cluster_state.apply(entry.delete, None, entry.version)
             self.cluster_state.revision = max(self.cluster_state.revision, event.reply.revision)
-            self._use_credits()
+            self._confirm_renewals()
         elif event.failed:
-            self._watch_next = self.context.now + RETRY_DELAY
+            self._next_watch_at = self.context.now + RETRY_DELAY
 
     def _leave(self) -> None:
-        """Act no more; another incarnation is to join."""
-        self.lease = self.incarnation = None
+        """Stop being active and give up the lease; the next tick joins with a new incarnation."""
+        self.lease_id = self.incarnation = None
         self.active_until = timedelta(days=-1)
-        self._credits.clear()
+        self._pending_renewals.clear()
 
-    def _get_lease(self) -> None:
-        if not self._ready("lease"):
+    def _acquire_lease(self) -> None:
+        if not self._may_attempt("lease"):
             return
 
-        def then(status: int, body: bytes) -> None:
-            self._asking["lease"] = self.context.now + RETRY_DELAY
+        def on_result(status: int, body: bytes) -> None:
+            self._next_attempt_at["lease"] = self.context.now + RETRY_DELAY
             if status == 200:
-                self.lease = wire.decode(wire.LeaseReply, body).lease
+                self.lease_id = wire.decode(wire.LeaseReply, body).lease
                 self._join()
 
         body = wire.encode(wire.LeaseRequest(int(self.context.member_ttl.total_seconds() * 1000)))
-        self.context.call_state("POST", wire.GRANTS_PATH, body, then, urgent=True)
+        self.context.call_state("POST", wire.GRANTS_PATH, body, on_result, urgent=True)
 
     def _join(self) -> None:
-        """Write the member key; the lease's number is the incarnation, so no two are alike."""
-        if not self._ready("join"):
+        """Write the member key. The lease id serves as the incarnation, so incarnations are unique."""
+        if not self._may_attempt("join"):
             return
-        lease = self.lease
-        assert lease is not None
+        lease_id = self.lease_id
+        assert lease_id is not None
         key = rec.MEMBERS + self.context.name
-        value = msgspec.json.encode(rec.MemberRecord(lease))
+        value = msgspec.json.encode(rec.MemberRecord(lease_id))
 
-        def then(status: int, body: bytes) -> None:
-            self._asking["join"] = self.context.now + RETRY_DELAY
-            if lease != self.lease:
+        def on_result(status: int, body: bytes) -> None:
+            self._next_attempt_at["join"] = self.context.now + RETRY_DELAY
+            if lease_id != self.lease_id:
                 return
             if status == 200:
                 revision = wire.decode(wire.TxnReply, body).revision
                 self.cluster_state.apply(key, value, revision)
-                self.incarnation = lease
-                log.info("joined as incarnation %d", lease)
+                self.incarnation = lease_id
+                log.info("joined as incarnation %d", lease_id)
                 self._renew()
-                self._propose()
+                self._propose_epoch()
             elif status == 400:
-                self.lease = None
+                self.lease_id = None
             elif status in (0, 409):
-                self._refresh(key)
+                self._reload_key(key)
 
         txn = wire.Txn(
-            [wire.Condition(key, self.cluster_state.version(key))], [wire.Put(key, msgspec.Raw(value), lease)]
+            [wire.Condition(key, self.cluster_state.version(key))], [wire.Put(key, msgspec.Raw(value), lease_id)]
         )
-        self.context.call_state("POST", wire.COMMIT_PATH, wire.encode(txn), then, writes=1, urgent=True)
+        self.context.call_state("POST", wire.COMMIT_PATH, wire.encode(txn), on_result, writes=1, urgent=True)
 
-    def _refresh(self, key: str) -> None:
-        """Read a key whose state is in doubt."""
+    def _reload_key(self, key: str) -> None:
+        """Read a key whose state is uncertain."""
 
-        def then(status: int, body: bytes) -> None:
+        def on_result(status: int, body: bytes) -> None:
             if status == 200:
                 item: wire.KeyValue = wire.decode(wire.KeyValue, body)
                 self.cluster_state.apply(key, item.value, item.version)
                 if key == rec.MEMBERS + self.context.name and self.incarnation is None:
                     record: rec.MemberRecord = wire.decode(rec.MemberRecord, bytes(item.value))
-                    if record.incarnation == self.lease:
-                        self.incarnation = self.lease
+                    if record.incarnation == self.lease_id:
+                        self.incarnation = self.lease_id
             elif status == 404:
                 self.cluster_state.apply(key, None, wire.decode(wire.KeyNotFound, body).revision)
 
-        self.context.call_state("GET", wire.key_path(key), None, then, urgent=True)
+        self.context.call_state("GET", wire.key_path(key), None, on_result, urgent=True)
 
     def refresh_epoch(self) -> None:
-        """A commit failed on the epoch: learn the new one without waiting for the watch."""
-        if self._ready("epoch"):
-            self._refresh(rec.EPOCH)
+        """Read the epoch without waiting for the watch, after a commit failed on it."""
+        if self._may_attempt("epoch"):
+            self._reload_key(rec.EPOCH)
 
     def _renew(self) -> None:
-        if not self._ready("renew"):
+        """Renew the lease and check that the epoch and the member key are unchanged."""
+        if not self._may_attempt("renew"):
             return
-        context, sent, lease = self.context, self.context.now, self.lease
-        self._last_renewal_at = sent
+        context, sent_at, lease_id = self.context, self.context.now, self.lease_id
+        self._last_renewal_at = sent_at
         results: dict[str, int] = {}
 
-        def both(what: str, ledger: int) -> None:
-            results[what] = ledger
-            if len(results) == 2 and lease == self.lease:
-                self._credits.append((sent, results["check"]))
-                self._use_credits()
+        def store_result(step: str, revision: int) -> None:
+            results[step] = revision
+            if len(results) == 2 and lease_id == self.lease_id:
+                self._pending_renewals.append((sent_at, results["check"]))
+                self._confirm_renewals()
 
-        def renewed(status: int, body: bytes) -> None:
-            self._asking.pop("renew", None)
+        def on_renewed(status: int, body: bytes) -> None:
+            self._next_attempt_at.pop("renew", None)
             if status == 200:
-                both("renew", 0)
-            elif status == 404 and lease == self.lease:
-                log.error("the member lease has ended: joining anew")
+                store_result("renew", 0)
+            elif status == 404 and lease_id == self.lease_id:
+                log.error("the member lease has expired: rejoining")
                 self._leave()
             else:
                 self._last_renewal_at = context.now - context.member_ttl / 5 + RETRY_DELAY
 
-        def checked(status: int, body: bytes) -> None:
+        def on_checked(status: int, body: bytes) -> None:
             if status == 200:
-                both("check", wire.decode(wire.TxnReply, body).revision)
+                store_result("check", wire.decode(wire.TxnReply, body).revision)
 
-        assert lease is not None
-        context.call_state("POST", wire.renew_lease_path(lease), b"{}", renewed, urgent=True)
+        assert lease_id is not None
+        context.call_state("POST", wire.renew_lease_path(lease_id), b"{}", on_renewed, urgent=True)
         key = rec.MEMBERS + context.name
         txn = wire.Txn([
             wire.Condition(rec.EPOCH, self.cluster_state.version(rec.EPOCH)),
             wire.Condition(key, self.cluster_state.version(key)),
         ])  # fmt: skip
-        context.call_state("POST", wire.COMMIT_PATH, wire.encode(txn), checked, urgent=True)
-
-    def _use_credits(self) -> None:
-        """A renewal counts once the picture holds all that was committed before its check."""
-        waiting = []
-        for sent, ledger in self._credits:
-            if ledger <= self.cluster_state.revision:
-                self.renewed_at = max(self.renewed_at, sent)
-                self.active_until = max(self.active_until, sent + self.context.member_ttl / CLOCK_SKEW_FACTOR)
+        context.call_state("POST", wire.COMMIT_PATH, wire.encode(txn), on_checked, urgent=True)
+
+    def _confirm_renewals(self) -> None:
+        """Confirm renewals once the cluster state has reached the revision of their check."""
+        unconfirmed = []
+        for sent_at, check_revision in self._pending_renewals:
+            if check_revision <= self.cluster_state.revision:
+                self.renewed_at = max(self.renewed_at, sent_at)
+                self.active_until = max(self.active_until, sent_at + self.context.member_ttl / CLOCK_SKEW_FACTOR)
             else:
-                waiting.append((sent, ledger))
-        self._credits = waiting[-20:]
-        if waiting and self.context.now - waiting[0][0] > STUCK and self._watch_open:
-            log.info("the watch lags behind revision %d", waiting[0][1])
+                unconfirmed.append((sent_at, check_revision))
+        self._pending_renewals = unconfirmed[-20:]
+        if unconfirmed and self.context.now - unconfirmed[0][0] > WATCH_LAG_WARNING and self._watch_open:
+            log.info("the watch has not reached revision %d yet", unconfirmed[0][1])
 
-    def see_epoch(self) -> None:
+    def detect_epoch_change(self) -> None:
+        """Follow a new epoch in the cluster state and flag the change."""
         epoch = self.cluster_state.epoch
         number = -1 if epoch is None else epoch.number
-        if number == self._known_epoch:
+        if number == self._last_seen_epoch:
             return
-        mine = None if epoch is None else epoch.members.get(self.context.name)
-        # Changed more than once before anybody looked (the flag is still up), epochs are as good as missed.
+        own_incarnation = None if epoch is None else epoch.members.get(self.context.name)
+        # If the flag is still set, the epoch changed again before it was handled: that counts as a missed epoch.
         self.newest_epoch()
-        self.epoch_continuous = not self.changed and number == self._known_epoch + 1 and mine == self._epoch_incarnation
-        self._epoch_incarnation = mine
-        self._known_epoch = number
+        self.epoch_continuous = (
+            not self.epoch_change_pending
+            and number == self._last_seen_epoch + 1
+            and own_incarnation == self._epoch_incarnation
+        )
+        self._epoch_incarnation = own_incarnation
+        self._last_seen_epoch = number
         self.epoch_seen_at = self.context.now
-        self.changed = True
-        self.assignment.follow(epoch)
+        self.epoch_change_pending = True
+        self.assignment.apply_epoch(epoch)
         if epoch is not None:
-            self.context.share(len(epoch.members), epoch.leader == self.context.name)
-            # Others' wishes stand until a machine has moved: dropped with each epoch, those of two controllers that
-            # took machines over from a third kept displacing each other until a lease was over.
-            self._keep_wishes()
+            self.context.divide_budgets(len(epoch.members), epoch.leader == self.context.name)
+            # Requests stay until their machine has moved. When each epoch dropped them, two controllers that took over
+            # machines from a third kept displacing each other's requests until a machine lease expired.
+            self._prune_move_requests()
             log.info("epoch %d: leader %s, members %s, %d machines moved",
                      epoch.number, epoch.leader, ",".join(sorted(epoch.members)), len(epoch.moved))  # fmt: skip
 
-    def _propose(self) -> None:
-        """Write the next epoch when the member keys differ from the present one's, or machines must move."""
+    def _propose_epoch(self) -> None:
+        """Write the next epoch if the member keys differ from the current one, or machines are to move."""
         context, cluster_state, epoch = self.context, self.cluster_state, self.cluster_state.epoch
-        mine = cluster_state.members.get(context.name)
-        if self.incarnation is None or mine is None or mine.incarnation != self.incarnation:
-            self._mismatch_since = None
+        own_record = cluster_state.members.get(context.name)
+        if self.incarnation is None or own_record is None or own_record.incarnation != self.incarnation:
+            self._epoch_outdated_since = None
             return
-        live = {name: member.incarnation for name, member in cluster_state.members.items()}
+        members = {name: member.incarnation for name, member in cluster_state.members.items()}
         if self._move_requests:
-            self._keep_wishes()
+            self._prune_move_requests()
         moves = dict.fromkeys(self._move_requests, context.name) if self.is_active() else {}
-        moves_only = epoch is not None and epoch.members == live
-        if moves_only and (not moves or context.now - self.epoch_seen_at < MOVES_APART):
-            self._mismatch_since = None
+        moves_only = epoch is not None and epoch.members == members
+        if moves_only and (not moves or context.now - self.epoch_seen_at < MIN_MOVE_EPOCH_INTERVAL):
+            self._epoch_outdated_since = None
             return
-        if self._mismatch_since is None:
-            self._mismatch_since = context.now
-        wait = timedelta() if moves_only else turn(context.name, epoch, live)
-        if context.now - self._mismatch_since < wait or not self._ready("propose"):
+        if self._epoch_outdated_since is None:
+            self._epoch_outdated_since = context.now
+        wait = timedelta() if moves_only else proposal_delay(context.name, epoch, members)
+        if context.now - self._epoch_outdated_since < wait or not self._may_attempt("propose"):
             return
-        whole = next_epoch(epoch, live, moves, self.assignment.of_use)
-        record = fitting(whole, int(context.cluster.state.value_kb * 1024))
-        if len(record.moved) < len(whole.moved):
-            log.error("epoch %d: no room for %d of the %d machines moved: they go back to the split by hash",
-                      record.number, len(whole.moved) - len(record.moved), len(whole.moved))  # fmt: skip
+        untruncated = next_epoch(epoch, members, moves, self.assignment.still_exists)
+        record = fit_to_size(untruncated, int(context.cluster.state.value_kb * 1024))
+        if len(record.moved) < len(untruncated.moved):
+            log.error("epoch %d: no room for %d of the %d moved machines: they return to their hashed owners",
+                      record.number, len(untruncated.moved) - len(record.moved), len(untruncated.moved))  # fmt: skip
         value = msgspec.json.encode(record)
         key = rec.MEMBERS + context.name
 
-        def then(status: int, body: bytes) -> None:
-            self._asking["propose"] = context.now + RETRY_DELAY
+        def on_result(status: int, body: bytes) -> None:
+            self._next_attempt_at["propose"] = context.now + RETRY_DELAY
             if status == 200:
                 cluster_state.apply(rec.EPOCH, value, wire.decode(wire.TxnReply, body).revision)
-                self.see_epoch()
+                self.detect_epoch_change()
             elif status in (0, 409):
-                self._refresh(rec.EPOCH)
+                self._reload_key(rec.EPOCH)
 
         txn = wire.Txn(
             [
@@ -380,4 +400,4 @@
             ],
             [wire.Put(rec.EPOCH, msgspec.Raw(value))],
         )
-        context.call_state("POST", wire.COMMIT_PATH, wire.encode(txn), then, writes=1, urgent=True)
+        context.call_state("POST", wire.COMMIT_PATH, wire.encode(txn), on_result, writes=1, urgent=True)
--- a/src/gladecroft/coordination/membership/record_loader.py
+++ b/src/gladecroft/coordination/membership/record_loader.py
@@ -1,4 +1,4 @@
-"""Reads all records at a start, page by page, into the picture."""
+"""Reads all records from the state service into the cluster state at startup."""
 
 from __future__ import annotations
 
@@ -12,48 +12,49 @@
 
 log = logging.getLogger(__name__)
 
-PAGE = 400
-#: No key of a final state sorts after this: jobs' names end in digits.
+PAGE_SIZE = 400
+#: Sorts after the keys of all final states: job ids end in digits.
 AFTER_FINALS = rec.FINALS + "~"
-#: Stands for the end of the listing.
-LISTED = "~"
+#: Marks the end of the listing as a page position.
+END_OF_LISTING = "~"
 
 
 class RecordLoader:
-    """``loaded`` is called once the picture holds all records."""
+    """Loads the records page by page, then calls ``on_loaded``."""
 
-    def __init__(self, context: ControllerContext, loaded: Callable[[], None]) -> None:
+    def __init__(self, context: ControllerContext, on_loaded: Callable[[], None]) -> None:
         self.context = context
         self.cluster_state = context.cluster_state
-        self._loaded = loaded
+        self._on_loaded = on_loaded
         self._page_after: str | None = None
-        self._ask_at = timedelta(days=-1)
+        self._next_request_at = timedelta(days=-1)
 
-    def start_again(self) -> None:
+    def restart(self) -> None:
+        """Begin again at the first page."""
         self._page_after = None
 
-    def _may_ask(self) -> bool:
-        """Whether to ask for the next page (again) now."""
-        if self.context.now < self._ask_at:
+    def _may_request(self) -> bool:
+        """Whether to request the next page now; if so, the next attempt is delayed."""
+        if self.context.now < self._next_request_at:
             return False
-        self._ask_at = self.context.now + 3 * RETRY_DELAY
+        self._next_request_at = self.context.now + 3 * RETRY_DELAY
         return True
 
     def load(self) -> None:
-        """List the records, page by page; the watch then goes on from the first page's revision.
+        """Request the next page of records. The watch later continues from the revision of the first page.
 
-        The states of jobs that are over are kept for ever and would make every start longer than the last; they are
-        left out and read when somebody asks. The epoch's key sorts before them, so it is read by itself, last: a
-        change to it after the first page's revision also comes by the watch.
+        The final states of jobs are kept forever and would make each startup slower than the one before, so they are
+        skipped and read on demand. The epoch's key sorts before them and is read separately, last; a change to it after
+        the first page's revision is also delivered by the watch.
         """
-        if not self._may_ask():
+        if not self._may_request():
             return
         after = self._page_after or AFTER_FINALS
 
-        def then(status: int, body: bytes) -> None:
-            self._ask_at = timedelta(days=-1)
+        def on_page(status: int, body: bytes) -> None:
+            self._next_request_at = timedelta(days=-1)
             if status != 200:
-                self._ask_at = self.context.now + RETRY_DELAY
+                self._next_request_at = self.context.now + RETRY_DELAY
                 return
             page: wire.RangeReply = wire.decode(wire.RangeReply, body)
             if self._page_after is None:
@@ -63,27 +64,29 @@
             if page.more and page.items:
                 self._page_after = page.items[-1].key
             else:
-                self._page_after = LISTED
+                self._page_after = END_OF_LISTING
             self.load()
 
-        def epoch(status: int, body: bytes) -> None:
-            self._ask_at = timedelta(days=-1)
+        def on_epoch(status: int, body: bytes) -> None:
+            self._next_request_at = timedelta(days=-1)
             if status == 200:
                 item: wire.KeyValue = wire.decode(wire.KeyValue, body)
                 self.cluster_state.apply(item.key, item.value, item.version)
             elif status != 404:
-                self._ask_at = self.context.now + RETRY_DELAY
+                self._next_request_at = self.context.now + RETRY_DELAY
                 return
             self._page_after = None
             self.context.records_loaded = True
-            log.info("picture loaded at revision %d: %d jobs, %d machines",
+            log.info("records loaded at revision %d: %d jobs, %d machines",
                      self.cluster_state.revision, len(self.cluster_state.jobs),
                      len(self.cluster_state.machines))  # fmt: skip
-            self._loaded()
+            self._on_loaded()
 
-        if after == LISTED:
-            sent = self.context.call_state("GET", wire.key_path(rec.EPOCH), None, epoch, urgent=True)
+        if after == END_OF_LISTING:
+            sent = self.context.call_state("GET", wire.key_path(rec.EPOCH), None, on_epoch, urgent=True)
         else:
-            sent = self.context.call_state("GET", wire.range_path(rec.ROOT, after, PAGE), None, then, urgent=True)
+            sent = self.context.call_state(
+                "GET", wire.range_path(rec.ROOT, after, PAGE_SIZE), None, on_page, urgent=True
+            )
         if not sent:
-            self._ask_at = timedelta(days=-1)
+            self._next_request_at = timedelta(days=-1)
--- a/tests/test_combined_failures.py
+++ b/tests/test_combined_failures.py
@@ -1,4 +1,4 @@
-"""Rules break where two troubles meet: drawn histories of such meetings, and what each guard is there for."""
+"""Randomized scenarios of failures that coincide, and tests of the guards against them."""
 
 from __future__ import annotations
 
@@ -17,81 +17,89 @@
 from test_epochs import clock_at
 from test_fencing import SPEC, CoreHarness
 
-NODES = (2, 3, 3, 5)
+CONTROLLER_COUNTS = (2, 3, 3, 5)
 
 
-def fleet(drawn: random.Random, nodes: int) -> list[str]:
+def fleet_lines(rng: random.Random, controllers: int) -> list[str]:
+    """The lines of a scenario that set up teams and machines."""
     return [
-        f"nodes {nodes}",
-        f"set machine.consolidate={drawn.choice(['true', 'false'])}",
-        f"team t cpus=60 max={drawn.choice([80, 300])}", "team u cpus=0 max=0",
+        f"nodes {controllers}",
+        f"set machine.consolidate={rng.choice(['true', 'false'])}",
+        f"team t cpus=60 max={rng.choice([80, 300])}", "team u cpus=0 max=0",
         "type g16 cpus=16 memory=64 boot=8", "up g16 count=4", "up g16 zone=b count=4",
     ]  # fmt: skip
 
 
-def gap(seed: int) -> str:
-    """One controller is refused alone, others confirm cancellations, then the service is down for everybody; twice."""
-    drawn = random.Random(seed)
-    nodes = drawn.choice(NODES)
-    lines = fleet(drawn, nodes)
+def cancellation_gap_scenario(seed: int) -> str:
+    """One controller is refused, others acknowledge cancellations, then the state service is down for all; twice."""
+    rng = random.Random(seed)
+    controllers = rng.choice(CONTROLLER_COUNTS)
+    lines = fleet_lines(rng, controllers)
     jobs = []
     for number in range(8):
-        kind = drawn.choice(["kind=service spread=yes", "kind=group", "run=400", "run=400 checkpoint=5 save=2"])
+        kind = rng.choice(["kind=service spread=yes", "kind=group", "run=400", "run=400 checkpoint=5 save=2"])
         jobs.append(f"wk-{number}")
         lines.append(
-            f"at {drawn.uniform(1, 4):.1f} submit wk-{number} team={drawn.choice('tu')} tasks={drawn.choice([1, 2, 9])}"
-            f" cpus={drawn.choice([1, 2])} memory=1 {kind}"
+            f"at {rng.uniform(1, 4):.1f} submit wk-{number} team={rng.choice('tu')} tasks={rng.choice([1, 2, 9])}"
+            f" cpus={rng.choice([1, 2])} memory=1 {kind}"
         )
     at = 25.0
     for _ in range(2):
-        who = drawn.choice(["leader", "leader", f"n{seed % nodes}"])
-        lines.append(f"at {at:.1f} refuse {who} for={drawn.uniform(1, 20):.1f}")
-        down = at + drawn.uniform(0.2, 7)
+        refused = rng.choice(["leader", "leader", f"n{seed % controllers}"])
+        lines.append(f"at {at:.1f} refuse {refused} for={rng.uniform(1, 20):.1f}")
+        down = at + rng.uniform(0.2, 7)
         for _ in range(3):
-            lines.append(f"at {drawn.uniform(at - 0.5, down):.2f} cancel {drawn.choice(jobs)}")
-        span = drawn.choice([5.0, 30.0, 50.0, 70.0])
-        lines.append(f"at {down:.2f} outage for={span}")
-        # Who has just told of a cancellation ends, returns with an empty memory, or is cut from one sibling only.
-        one, other = drawn.sample(range(nodes), 2)
-        extra = drawn.choice(
+            lines.append(f"at {rng.uniform(at - 0.5, down):.2f} cancel {rng.choice(jobs)}")
+        duration = rng.choice([5.0, 30.0, 50.0, 70.0])
+        lines.append(f"at {down:.2f} outage for={duration}")
+        # The controller that has just acknowledged a cancellation stops, restarts without its state, or is cut off from
+        # one peer only.
+        first_index, other_index = rng.sample(range(controllers), 2)
+        extra = rng.choice(
             [
-                f"crash n{one} for={drawn.choice([0.2, 2, 9])}", f"cut n{one} n{other} for={drawn.uniform(2, 30):.1f}",
-                f"freeze n{one} for={drawn.uniform(1, 9):.1f}", "cut-machine busiest mode=hold for=12",
-                f"cut n{one} workers for=20", "deaf busiest for=15", "",
+                f"crash n{first_index} for={rng.choice([0.2, 2, 9])}",
+                f"cut n{first_index} n{other_index} for={rng.uniform(2, 30):.1f}",
+                f"freeze n{first_index} for={rng.uniform(1, 9):.1f}", "cut-machine busiest mode=hold for=12",
+                f"cut n{first_index} workers for=20", "deaf busiest for=15", "",
             ]
         )  # fmt: skip
         if extra:
-            lines.append(f"at {drawn.uniform(at, down + 8):.2f} {extra}")
-        at = down + span + drawn.choice([0.5, 3, 20])
+            lines.append(f"at {rng.uniform(at, down + 8):.2f} {extra}")
+        at = down + duration + rng.choice([0.5, 3, 20])
     return "\n".join([*lines, f"run {at + 110:.0f}"])
 
 
 @pytest.mark.parametrize("first", range(0, 20, 10))
-def test_what_is_cancelled_ends_in_time_through_the_gap(first: int) -> None:
+def test_cancelled_tasks_end_in_time_across_the_cancellation_gap(first: int) -> None:
     for seed in range(first, first + 10):
-        scenario = Scenario(gap(seed), seed).run()
-        assert scenario.oracle.broken == [], gap(seed)
+        scenario = Scenario(cancellation_gap_scenario(seed), seed).run()
+        assert scenario.oracle.broken == [], cancellation_gap_scenario(seed)
 
 
-def find(rule: str, seeds: range) -> bool:
-    return any(broken.startswith(rule) for seed in seeds for broken in Scenario(gap(seed), seed).run().oracle.broken)
+def violation_found(rule: str, seeds: range) -> bool:
+    """Whether any of the seeds violates the invariant."""
+    return any(
+        broken.startswith(rule)
+        for seed in seeds
+        for broken in Scenario(cancellation_gap_scenario(seed), seed).run().oracle.broken
+    )
 
 
-def test_without_its_guards_the_gap_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Nobody tells of cancellations, and machines are answered by consent for as long as the outage lasts.
+def test_scenarios_find_the_gap_if_consent_omits_cancellations(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Peers list no cancellations, so machines are answered by consent for as long as the outage lasts.
     monkeypatch.setattr(PeerConsent, "_build_reply", lambda self, revision: peers.ConsentReply([], True))
-    assert find("ran_cancelled", range(24, 31))
+    assert violation_found("ran_cancelled", range(24, 31))
 
 
-def test_what_siblings_tell_closes_the_gap_at_once() -> None:
-    scenario = Scenario(GAP, 1).run()
+def test_cancellations_from_peers_stop_tasks_at_once() -> None:
+    scenario = Scenario(CANCELLATION_GAP, 1).run()
     assert scenario.oracle.broken == [] and scenario.failures == []
     ended = [float(event.split()[0]) for event in scenario.oracle.events if "wk-1/" in event and " ends on " in event]
-    # The outage begins at 24 s; the tasks are told to stop with their machines' next reports.
+    # The outage begins at 24 s; the tasks are stopped with the replies to their machines' next reports.
     assert ended and max(ended) < 29.5
 
 
-GAP = """
+CANCELLATION_GAP = """
 team t cpus=200 max=400
 type g16 cpus=16 memory=64
 up g16 count=3
@@ -104,8 +112,9 @@
 expect wk-1 running is 0
 """
 
-#: Each is a meeting of the operators' page: deeds with the time after its beginning, and what is drawn for them.
-MEETINGS: dict[str, tuple[str, ...]] = {
+#: Combinations listed in the operator documentation: actions, each with its time after the start. Values in braces are
+#: random. A seed selects by the sorted names, so renaming one changes the scenarios of all seeds.
+FAILURES: dict[str, tuple[str, ...]] = {
     "hand-over and back": (
         "0 crash leader for={q}", "{q} crash all for={q}", "{s} crash {n} for={q}", "{s} freeze {n} for={s}",
         "{s} down {n} for={s}", "{s} crash leader for=0.1",
@@ -139,8 +148,8 @@
 }  # fmt: skip
 
 
-#: The page's later lines, to be mixed with the ones before.
-LATER: dict[str, tuple[str, ...]] = {
+#: Further combinations from that page, mixed with the ones above.
+MORE_FAILURES: dict[str, tuple[str, ...]] = {
     "close looks": (
         "0 close-looks for={l} cancels=0.2", "0 slow-state by={d} for={s}", "{q} slow-watch by={d} for={s}",
     ),
@@ -166,47 +175,50 @@
 }  # fmt: skip
 
 
-def meeting(seed: int, pool: dict[str, tuple[str, ...]] = MEETINGS, first: str = "") -> str:
-    """Two or three meetings at the same time, over by 140 s, on a fleet with long and short work. ``first``: one that
-    is to be among them."""
-    drawn = random.Random(seed)
-    nodes = drawn.choice(NODES)
-    lines = fleet(drawn, nodes)
+def combined_failures_scenario(seed: int, pool: dict[str, tuple[str, ...]] = FAILURES, first: str = "") -> str:
+    """Two or three combinations of failures at the same time that end by 140 s, with long and short jobs.
+
+    ``first`` names a combination to include.
+    """
+    rng = random.Random(seed)
+    controllers = rng.choice(CONTROLLER_COUNTS)
+    lines = fleet_lines(rng, controllers)
     jobs = [f"wk-{number}" for number in range(9)]
     lines.append("at 1 submit wk-99 team=u kind=service tasks=6 cpus=1 spread=yes")
     for name in jobs:
-        kind = drawn.choice(
+        kind = rng.choice(
             ["kind=service spread=yes", "kind=group run=30", "run=6", "run=25", "run=40", "run=25 checkpoint=5 save=2"]
         )
         lines.append(
-            f"at {drawn.uniform(1, 60):.1f} submit {name} team={drawn.choice('tu')} tasks={drawn.choice([1, 2, 3, 12])}"
-            f" cpus={drawn.choice([1, 2, 4])} memory=2 {kind}"
+            f"at {rng.uniform(1, 60):.1f} submit {name} team={rng.choice('tu')} tasks={rng.choice([1, 2, 3, 12])}"
+            f" cpus={rng.choice([1, 2, 4])} memory=2 {kind}"
         )
-    names = drawn.sample(sorted(pool), drawn.choice([2, 2, 3]))
+    names = rng.sample(sorted(pool), rng.choice([2, 2, 3]))
     for name in [first, *[name for name in names if name != first][:-1]] if first else names:
-        begin = drawn.uniform(12, 70)
-        for deed in pool[name]:
-            if drawn.random() < 0.2:
+        begin = rng.uniform(12, 70)
+        for action in pool[name]:
+            if rng.random() < 0.2:
                 continue
-            when, _, what = deed.partition(" ")
+            when, _, what = action.partition(" ")
 
-            def word(text: str) -> str:
+            def substitute(text: str) -> str:
                 values: dict[str, Any] = {
-                    "q": drawn.choice([0.1, 0.3, 0.8, 4]), "s": drawn.choice([1, 3, 8, 20]),
-                    "l": drawn.choice([25, 45]), "n": f"n{drawn.randrange(nodes)}", "j": drawn.choice(jobs),
-                    "m": drawn.choice(["hold", "lose"]), "p": drawn.choice([0.05, 0.2, 0.5]),
-                    "d": drawn.choice([0.2, 0.6, 1.5]), "y": drawn.choice(["yes", "no"]),
+                    "q": rng.choice([0.1, 0.3, 0.8, 4]), "s": rng.choice([1, 3, 8, 20]),
+                    "l": rng.choice([25, 45]), "n": f"n{rng.randrange(controllers)}", "j": rng.choice(jobs),
+                    "m": rng.choice(["hold", "lose"]), "p": rng.choice([0.05, 0.2, 0.5]),
+                    "d": rng.choice([0.2, 0.6, 1.5]), "y": rng.choice(["yes", "no"]),
                 }  # fmt: skip
                 return text.format(**values)
 
-            at = begin + float(word(when))
+            at = begin + float(substitute(when))
             if " cancel" in f" {what}":
                 at = max(at, 61.0)
-            lines.append(f"at {at:.2f} {word(what)}")
+            lines.append(f"at {at:.2f} {substitute(what)}")
     return "\n".join([*lines, "run 260"])
 
 
-def play(text: str, seed: int) -> None:
+def run_scenario(text: str, seed: int) -> None:
+    """Check that no invariant is violated, every job that was not cancelled has started, and batch jobs are done."""
     scenario = Scenario(text, seed).run()
     assert scenario.oracle.broken == [], (seed, text)
     for name, user in scenario.users.items():
@@ -217,46 +229,48 @@
 
 
 @pytest.mark.parametrize("first", range(0, 80, 10))
-def test_no_rule_breaks_where_troubles_meet(first: int) -> None:
+def test_no_invariant_is_violated_by_combined_failures(first: int) -> None:
     for seed in range(first, first + 10):
-        play(meeting(seed), seed)
+        run_scenario(combined_failures_scenario(seed), seed)
 
 
-@pytest.mark.parametrize("name", sorted(LATER))
-def test_no_rule_breaks_where_later_troubles_meet_the_others(name: str) -> None:
+@pytest.mark.parametrize("name", sorted(MORE_FAILURES))
+def test_no_invariant_is_violated_by_further_failure_types(name: str) -> None:
     for seed in range(5):
-        play(meeting(seed, {**MEETINGS, **LATER}, name), seed)
+        run_scenario(combined_failures_scenario(seed, {**FAILURES, **MORE_FAILURES}, name), seed)
 
 
-def test_a_cancelled_job_is_over_only_when_all_that_was_placed_before_is_known(monkeypatch: pytest.MonkeyPatch) -> None:
-    def finals(rig: CoreHarness) -> int:
-        rig.core.context.state_writes.tokens = rig.core.context.state_writes.burst
-        rig.core.context.state_served_at = rig.core.context.now
-        calls = [effect for effect in rig.core.step(clock_at(rig.now_s), []) if isinstance(effect, OutgoingCall)]
-        rig.now_s += 0.6
+def test_cancelled_job_finishes_only_when_earlier_placements_are_known(monkeypatch: pytest.MonkeyPatch) -> None:
+    def final_state_writes(harness: CoreHarness) -> int:
+        harness.core.context.state_writes.tokens = harness.core.context.state_writes.burst
+        harness.core.context.state_served_at = harness.core.context.now
+        calls = [
+            effect for effect in harness.core.step(clock_at(harness.now_s), []) if isinstance(effect, OutgoingCall)
+        ]
+        harness.now_s += 0.6
         return sum(b"g/f/wk-1" in (call.body or b"") for call in calls)
 
-    def cancelled_by_this_home() -> CoreHarness:
-        rig = CoreHarness()
-        rig.put_record(rec.EPOCH, rec.EpochRecord(2, "n0", {"n0": 7, "n1": 8}, {"m-1": "n0"}))
-        # Its own commit tells it of the cancellation at once; the watch has yet to bring what came before: a placement
-        # of its own that had got no answer and was carried out late.
+    def harness_with_own_cancellation() -> CoreHarness:
+        harness = CoreHarness()
+        harness.put_record(rec.EPOCH, rec.EpochRecord(2, "n0", {"n0": 7, "n1": 8}, {"m-1": "n0"}))
+        # Its own commit makes the cancellation known at once. The watch has yet to deliver an earlier placement of its
+        # own, which got no answer and was committed late.
         record = rec.JobRecord(SPEC, 0, True)
-        rig.core.context.cluster_state.apply("g/j/wk-1", msgspec.json.encode(record), rig.revision + 2)
-        return rig
+        harness.core.context.cluster_state.apply("g/j/wk-1", msgspec.json.encode(record), harness.revision + 2)
+        return harness
 
-    rig = cancelled_by_this_home()
-    assert sum(finals(rig) for _ in range(5)) == 0
-    rig.core.context.cluster_state.revision = rig.revision + 2
-    assert sum(finals(rig) for _ in range(5)) > 0
+    harness = harness_with_own_cancellation()
+    assert sum(final_state_writes(harness) for _ in range(5)) == 0
+    harness.core.context.cluster_state.revision = harness.revision + 2
+    assert sum(final_state_writes(harness) for _ in range(5)) > 0
     monkeypatch.setattr(CompletionComposer, "_cancellation_settled", lambda self, job: job.cancelled)
-    rig = cancelled_by_this_home()
-    assert sum(finals(rig) for _ in range(5)) > 0
+    harness = harness_with_own_cancellation()
+    assert sum(final_state_writes(harness) for _ in range(5)) > 0
 
 
-def test_who_loses_the_watch_joins_anew() -> None:
-    # In the same epoch an attempt that was told gone could have been started again: nothing is known of it any more.
-    rig = CoreHarness()
-    rig.step([WatchResult(gap=True)])
-    membership = rig.core.membership
-    assert membership.lease is None and membership.incarnation is None and not membership.is_active()
+def test_controller_rejoins_after_a_watch_gap() -> None:
+    # A gap also loses what is known of ended attempts: without a new epoch they could be started again.
+    harness = CoreHarness()
+    harness.step([WatchResult(gap=True)])
+    membership = harness.core.membership
+    assert membership.lease_id is None and membership.incarnation is None and not membership.is_active()
--- a/tests/test_epochs.py
+++ b/tests/test_epochs.py
@@ -1,4 +1,4 @@
-"""A new epoch takes effect before the next message of the same batch."""
+"""Epoch changes: a new epoch applies before the next event of a batch, and its record fits into one value."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -7,7 +7,7 @@
 from gladecroft.bookkeeping import records as rec
 from gladecroft.coordination.core import Core
 from gladecroft.coordination.events import ClockReading, IncomingRequest, RequestKind, WatchResult
-from gladecroft.coordination.membership import fitting
+from gladecroft.coordination.membership import fit_to_size
 from gladecroft.protocol import wire
 from gladecroft.protocol.settings import OperatorSettings, PlatformSettings
 
@@ -27,40 +27,45 @@
 
 
 def clock_at(at: float) -> ClockReading:
+    """A clock reading this many seconds after the start of the test's time."""
     return ClockReading(timedelta(seconds=at), datetime(2026, 1, 1, tzinfo=UTC) + timedelta(seconds=at))
 
 
-def epoch(number: int, owner: str) -> bytes:
+def epoch_record(number: int, owner: str) -> bytes:
+    """An encoded epoch of two members in which m-1 is moved to this owner."""
     return msgspec.json.encode(rec.EpochRecord(number, "n1", {"n0": 7, "n1": 8}, {"m-1": owner}))
 
 
-def test_a_report_after_the_news_of_an_epoch_is_dated_by_that_epoch() -> None:
+def test_report_after_new_epoch_in_same_batch_is_dated_by_that_epoch() -> None:
     core = Core(msgspec.convert(PLATFORM, PlatformSettings), OperatorSettings())
     core.context.records_loaded = True
-    core.membership.lease = core.membership.incarnation = 7
-    core.context.cluster_state.apply(rec.EPOCH, epoch(1, "n1"), 10)
+    core.membership.lease_id = core.membership.incarnation = 7
+    core.context.cluster_state.apply(rec.EPOCH, epoch_record(1, "n1"), 10)
     core.context.cluster_state.revision = 10
     core.step(clock_at(100), [])
     core.membership.active_until = timedelta(seconds=1000)
-    news = wire.WatchReply(11, [wire.WatchEvent(11, rec.EPOCH, None, msgspec.Raw(epoch(2, "n0")))])
+    watch_reply = wire.WatchReply(11, [wire.WatchEvent(11, rec.EPOCH, None, msgspec.Raw(epoch_record(2, "n0")))])
     report = {"hearth": "m-1", "endpoint": "a:1", "flavor": "g", "district": "a", "leftovers": False, "shift": 1,
               "tally": 1, "baton": 0, "warningS": None, "portions": []}  # fmt: skip
-    core.step(clock_at(200), [WatchResult(news), IncomingRequest(1, RequestKind.REPORT, msgspec.json.encode(report))])
+    core.step(
+        clock_at(200), [WatchResult(watch_reply), IncomingRequest(1, RequestKind.REPORT, msgspec.json.encode(report))]
+    )
     machine = core.machine_manager.machines["m-1"]
-    # The former owner may have answered until its member lease ended, counted from this epoch, not from the last.
+    # The former owner may have answered until its member lease expired, counted from this epoch, not from the one
+    # before.
     assert machine.owner_since == timedelta(seconds=200)
     assert core.machine_manager.lease_expiry(machine) > timedelta(seconds=200 + 6 + 18)
 
 
-def test_an_epoch_holds_as_many_moved_machines_as_a_value_does() -> None:
+def test_epoch_record_keeps_as_many_moved_machines_as_fit() -> None:
     members = {"n0": 7, "n1": 8}
     moved = {f"m-{number:06d}": "n0" for number in range(1000)}
     small = rec.EpochRecord(3, "n1", members, dict(list(moved.items())[:600]))
-    # Two hundred were kept once, whatever the limit: a third of a large fleet is more.
-    assert fitting(small, 16 * 1024) == small
+    # Guards against a fixed limit of 200 moved machines: a third of a large fleet is more.
+    assert fit_to_size(small, 16 * 1024) == small
     exact = len(msgspec.json.encode(small))
-    assert fitting(small, exact) == small
-    assert list(fitting(small, exact - 1).moved) == list(small.moved)[1:]
-    cut = fitting(rec.EpochRecord(3, "n1", members, moved), 8 * 1024)
+    assert fit_to_size(small, exact) == small
+    assert list(fit_to_size(small, exact - 1).moved) == list(small.moved)[1:]
+    cut = fit_to_size(rec.EpochRecord(3, "n1", members, moved), 8 * 1024)
     assert len(msgspec.json.encode(cut)) <= 8 * 1024
     assert 0 < len(cut.moved) < 1000 and list(cut.moved) == list(moved)[-len(cut.moved) :]
