--- a/src/gladecroft/coordination/scheduling/__init__.py
+++ b/src/gladecroft/coordination/scheduling/__init__.py
@@ -1,4 +1,4 @@
-"""Where tasks go: the two placers, the order of what waits, and what is stopped to make room or to leave a machine."""
+"""The scheduler: assigns pending tasks to machines, and stops tasks to preempt them or to drain a machine."""
 
 from gladecroft.coordination.scheduling.evictor import MOVED_NOTE_PREFIX
 from gladecroft.coordination.scheduling.scheduler import Scheduler
--- a/src/gladecroft/coordination/scheduling/candidate_cache.py
+++ b/src/gladecroft/coordination/scheduling/candidate_cache.py
@@ -1,4 +1,4 @@
-"""The machines as the placers see them, kept from round to round: only what has changed is looked at again."""
+"""Caches the candidate machines between scheduling rounds, so that only changed machines are recomputed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 class CandidateCache:
-    """Slots of the machines that may be offered: in use and, in our own part, heard in this epoch."""
+    """The machines that may be offered to tasks.
+
+    A machine is offered if it is in use and, when this controller owns it, has reported in the current epoch.
+    """
 
     def __init__(
         self,
@@ -26,7 +29,7 @@
         membership: Membership,
         machine_manager: MachineManager,
         state_writer: StateWriter,
-        line: int,
+        priority_line: int,
     ) -> None:
         self.context = context
         self.cluster_state = context.cluster_state
@@ -34,146 +37,170 @@
         self.membership = membership
         self.machine_manager = machine_manager
         self.state_writer = state_writer
-        self.line = line
+        self.priority_line = priority_line
         self.types: dict[str, MachineType] = {}
         self.candidates: dict[str, Candidate] = {}
-        self.groups: dict[CapacityPool, dict[str, Candidate]] = {}
-        self._sorts: dict[str, CapacityPool] = {}
+        self.by_pool: dict[CapacityPool, dict[str, Candidate]] = {}
+        self._pools: dict[str, CapacityPool] = {}
         self._images: dict[str, dict[str, None]] = {}
         self.panel = context.panel
-        #: Why machines were last refused to a job by a policy, in this round.
+        #: By job: why a policy last refused it a machine in this round.
         self.refusals: dict[str, str] = {}
-        self._looked = 0
+        self._recomputed_count = 0
 
     def invalidate_all(self) -> None:
+        """Have every candidate recomputed by the next ``refresh``."""
         self.cluster_state.dirty_for_placement.update(self.cluster_state.machines, self.candidates)
 
     def set_types(self, types: dict[str, MachineType]) -> None:
+        """Replace the machine types by those that the cloud now offers."""
         if types != self.types:
             self.types = types
             self.invalidate_all()
 
     def refresh(self, guaranteed: set[str]) -> None:
-        """Bring the slots of machines up to date that have changed or that the last round planned on."""
+        """Recompute the candidates of machines that changed or that the last round planned on.
+
+        ``guaranteed`` holds the ids of the jobs within their team's guarantee.
+        """
         self.refusals.clear()
         self.cluster_state.expire_suspensions(self.context.now)
-        stale, self.cluster_state.dirty_for_placement = self.cluster_state.dirty_for_placement, set()
-        self._looked += len(stale)
-        for name in sorted(stale):
+        dirty, self.cluster_state.dirty_for_placement = self.cluster_state.dirty_for_placement, set()
+        self._recomputed_count += len(dirty)
+        for name in sorted(dirty):
             self._drop(name)
-            slot = self._slot(name, guaranteed)
-            if slot is not None:
+            candidate = self._build_candidate(name, guaranteed)
+            if candidate is not None:
                 record = self.cluster_state.machines[name]
                 pool = record.pool
-                self.candidates[name] = slot
-                self._sorts[name] = pool
-                self.groups.setdefault(pool, {})[name] = slot
+                self.candidates[name] = candidate
+                self._pools[name] = pool
+                self.by_pool.setdefault(pool, {})[name] = candidate
             elif name not in self.cluster_state.machines:
                 self._images.pop(name, None)
 
     @property
-    def looked(self) -> int:
-        """How many machines have been looked at so far."""
-        return self._looked
+    def recomputed_count(self) -> int:
+        """How many times a candidate has been recomputed so far."""
+        return self._recomputed_count
 
     def _drop(self, name: str) -> None:
         if self.candidates.pop(name, None) is not None:
-            sort = self._sorts.pop(name)
-            group = self.groups[sort]
+            pool = self._pools.pop(name)
+            group = self.by_pool[pool]
             del group[name]
             if not group:
-                del self.groups[sort]
+                del self.by_pool[pool]
 
-    def _slot(self, name: str, guaranteed: set[str]) -> Candidate | None:
+    def _build_candidate(self, name: str, guaranteed: set[str]) -> Candidate | None:
         record = self.cluster_state.machines.get(name)
         if record is None or record.use is not MachineUse.UP or name in self.cluster_state.placement_suspended:
             return None
         if self.state_writer.machine_writes.get(name, record) != record:
             return None
-        kind = self.types.get(record.type)
-        if kind is None:
+        machine_type = self.types.get(record.type)
+        if machine_type is None:
             return None
         owner = self.membership.owner(name) or ""
-        mine = owner == self.name
+        owned = owner == self.name
         images = self._images.setdefault(name, {})
-        if mine:
+        if owned:
             machine = self.machine_manager.machines.get(name)
-            # A taker-over offers a machine only after a report that shows that it hears.
+            # A new owner offers a machine only after a report that acknowledges its token.
             if machine is None or machine.acked_at is None or machine.suspect:
                 return None
             images.update(machine.cached_images)
-        residents = [
-            self._resident(self.cluster_state.jobs[job], number, task, guaranteed)
+        tasks = [
+            self._placed_task(self.cluster_state.jobs[job], number, task, guaranteed)
             for (job, number), task in self.cluster_state.tasks_on(name)
         ]
-        slot = Candidate(
-            name, record.zone, record.spot, mine, owner, kind.cpus, kind.gpus, kind.memory_gb, set(images), residents
+        candidate = Candidate(
+            name,
+            record.zone,
+            record.spot,
+            owned,
+            owner,
+            machine_type.cpus,
+            machine_type.gpus,
+            machine_type.memory_gb,
+            set(images),
+            tasks,
         )
-        slot.count(self.line)
-        return slot
+        candidate.recompute(self.priority_line)
+        return candidate
 
     @staticmethod
-    def _resident(job: Job, number: int, task: TaskRecord, guaranteed: set[str]) -> PlacedTask:
+    def _placed_task(job: Job, number: int, task: TaskRecord, guaranteed: set[str]) -> PlacedTask:
         spec = job.spec
         stopping = task.state is TaskState.STOPPING or job.cancelled
         return PlacedTask(job.id, number, spec.cpus, spec.gpus, spec.memory_gb, job.priority_rank, spec.team,
                         job.id in guaranteed, task.placed_s, stopping, spec.job_class,
                         job.placed_count if spec.kind is JobKind.GANG else 1)  # fmt: skip
 
-    def plan_on(self, slot: Candidate) -> None:
-        """Note that this round plans on a slot: before the next it is worked out anew."""
-        self.cluster_state.dirty_for_placement.add(slot.machine)
+    def mark_planned(self, candidate: Candidate) -> None:
+        """Have a candidate recomputed before the next round because this round planned on it."""
+        self.cluster_state.dirty_for_placement.add(candidate.machine)
 
-    def note_image(self, machine: str, image: str) -> None:
+    def record_image(self, machine: str, image: str) -> None:
+        """Record that a machine holds, or is about to fetch, an image."""
         self._images.setdefault(machine, {})[image] = None
 
-    # What a job allows ---------------------------------------------------------------------------------------
-
     @staticmethod
-    def type_allowed(spec: JobSpec, kind: MachineType) -> bool:
+    def type_allowed(spec: JobSpec, machine_type: MachineType) -> bool:
+        """Whether the job allows a machine type and an empty machine of it holds a task."""
         return (
-            (spec.types is None or kind.name in spec.types)
-            and spec.cpus <= kind.cpus
-            and spec.gpus <= kind.gpus
-            and spec.memory_gb <= kind.memory_gb
+            (spec.types is None or machine_type.name in spec.types)
+            and spec.cpus <= machine_type.cpus
+            and spec.gpus <= machine_type.gpus
+            and spec.memory_gb <= machine_type.memory_gb
         )
 
-    def allowed(self, spec: JobSpec, type_name: str, zone: str, spot: bool) -> bool:
-        kind = self.types.get(type_name)
+    def machine_allowed(self, spec: JobSpec, type_name: str, zone: str, spot: bool) -> bool:
+        """Whether the job allows machines of a type in a zone, on the spot market or not."""
+        machine_type = self.types.get(type_name)
         return (
-            kind is not None
-            and self.type_allowed(spec, kind)
+            machine_type is not None
+            and self.type_allowed(spec, machine_type)
             and (spec.zone is None or spec.zone == zone)
             and (spec.spot or not spot)
         )
 
-    def usable(self, job: Job, full: Container[str] = ()) -> list[Candidate]:
-        """The slots of the sorts of machine that the job allows, less those that a policy refuses it. ``full``: zones
-        that can take no more of the job."""
+    def usable(self, job: Job, full_zones: Container[str] = ()) -> list[Candidate]:
+        """Return the candidates that the job's constraints and the policies allow.
+
+        Zones in ``full_zones`` can take no more tasks of the job and are left out.
+        """
         usable: list[Candidate] = []
-        for sort, group in self.groups.items():
-            if sort[1] not in full and self.allowed(job.spec, *sort):
+        for pool, group in self.by_pool.items():
+            if pool[1] not in full_zones and self.machine_allowed(job.spec, *pool):
                 if self.panel is None:
                     usable += group.values()
                 else:
-                    usable += [slot for slot in group.values() if self._agreed(self.panel, job, slot, sort)]
+                    usable += [
+                        candidate
+                        for candidate in group.values()
+                        if self._allowed_by_policies(self.panel, job, candidate, pool)
+                    ]
         return usable
 
-    def _agreed(self, panel: Panel, job: Job, slot: Candidate, pool: CapacityPool) -> bool:
-        why = panel.refusal(job, slot.machine, pool) or self._drained(panel, job, slot.machine, pool)
-        if why is not None:
-            self.refusals[job.id] = why
+    def _allowed_by_policies(self, panel: Panel, job: Job, candidate: Candidate, pool: CapacityPool) -> bool:
+        reason = panel.refusal(job, candidate.machine, pool) or self._drain_refusal(panel, job, candidate.machine, pool)
+        if reason is not None:
+            self.refusals[job.id] = reason
             return False
-        slot.tie_breaker = panel.score(job, slot.machine, pool)
+        candidate.tie_breaker = panel.score(job, candidate.machine, pool)
         return True
 
     @staticmethod
-    def _drained(panel: Panel, job: Job, machine: str, pool: CapacityPool) -> str | None:
-        """A machine that is to be empty by an instant takes only what will have ended then."""
+    def _drain_refusal(panel: Panel, job: Job, machine: str, pool: CapacityPool) -> str | None:
+        """Return why a machine that is being drained can't take a task of the job; None if it can.
+
+        It takes only tasks of arrays that are estimated to end before the drain begins to stop tasks.
+        """
         drain = panel.drain(machine, pool)
         if drain is None:
             return None
-        ends = panel.now + timedelta(seconds=job.spec.estimate_s)
-        if job.spec.kind is JobKind.ARRAY and job.spec.estimate_s > 0 and ends <= drain.by - drain.grace:
+        expected_end = panel.now + timedelta(seconds=job.spec.estimate_s)
+        if job.spec.kind is JobKind.ARRAY and job.spec.estimate_s > 0 and expected_end <= drain.by - drain.grace:
             return None
         return f"{drain.why}; to be empty by {format_utc(drain.by)}"
--- a/src/gladecroft/coordination/scheduling/infeasible_cache.py
+++ b/src/gladecroft/coordination/scheduling/infeasible_cache.py
@@ -1,94 +1,114 @@
-"""What a round has found to be lacking, so that nobody looks for it again in the same round."""
+"""Caches, for one scheduling round, which requests fit no machine, so that similar ones are not tried again."""
 
 from __future__ import annotations
 
 from gladecroft.bookkeeping.job import Job
 from gladecroft.coordination.scheduling.candidate_cache import CandidateCache
-from gladecroft.coordination.scheduling.placement import TINY, Candidate, TaskRequest
-from gladecroft.coordination.scheduling.selection import need_of
+from gladecroft.coordination.scheduling.placement import EPSILON, Candidate, TaskRequest
+from gladecroft.coordination.scheduling.selection import task_request
 
-#: What kind of room is looked for: the machines that a job allows, and in which way they may be used.
-Where = tuple[object, ...]
+#: Identifies the machines that a job may use and how it may use them; equal keys compete for the same capacity.
+ConstraintKey = tuple[object, ...]
 
 
 class InfeasibleCache:
-    """Room only dwindles in a round: what was lacking for one need is lacking for all that are no smaller."""
+    """Requests that fit no machine in the current round.
 
-    def __init__(self, candidate_cache: CandidateCache, line: int) -> None:
+    Capacity only shrinks during a round, so whatever is no smaller than an infeasible request is infeasible too.
+    """
+
+    def __init__(self, candidate_cache: CandidateCache, priority_line: int) -> None:
         self.candidate_cache = candidate_cache
-        self._line = line
-        #: Needs for which no room was found, by what kind of room they looked for.
-        self._lacking: dict[Where, list[tuple[float, float, float]]] = {}
-        #: What a policy refused when no room was found.
-        self._why: dict[Where, str] = {}
-        #: Machines on which something comes up or is held by work outside its guarantee, by what kind of room it is.
-        self._pushable: dict[Where, list[Candidate]] = {}
+        self._priority_line = priority_line
+        #: Cores, GPUs and memory of infeasible requests.
+        self._infeasible: dict[ConstraintKey, list[tuple[float, float, float]]] = {}
+        #: Why a policy refused machines to a request that fitted nowhere.
+        self._refusals: dict[ConstraintKey, str] = {}
+        #: Machines with releasing or borrowed capacity.
+        self._preemptible: dict[ConstraintKey, list[Candidate]] = {}
 
     def clear(self) -> None:
-        self._lacking.clear()
-        self._why.clear()
-        self._pushable.clear()
+        """Forget everything, for a new round."""
+        self._infeasible.clear()
+        self._refusals.clear()
+        self._preemptible.clear()
 
-    def of(self, where: Where, need: TaskRequest) -> bool:
-        """Whether no room was found for a need that is no bigger."""
+    def is_infeasible(self, constraints: ConstraintKey, request: TaskRequest) -> bool:
+        """Whether a request that is no larger has fitted nowhere."""
         return any(
-            need.cpus >= cpus and need.gpus >= gpus and need.memory_gb >= memory
-            for cpus, gpus, memory in self._lacking.get(where, ())
+            request.cpus >= cpus and request.gpus >= gpus and request.memory_gb >= memory
+            for cpus, gpus, memory in self._infeasible.get(constraints, ())
         )
 
-    def note(self, where: Where, need: TaskRequest) -> None:
-        self._lacking.setdefault(where, []).append((need.cpus, need.gpus, need.memory_gb))
+    def mark_infeasible(self, constraints: ConstraintKey, request: TaskRequest) -> None:
+        """Record that a request fits nowhere."""
+        self._infeasible.setdefault(constraints, []).append((request.cpus, request.gpus, request.memory_gb))
 
-    def note_why(self, where: Where, job: Job) -> None:
-        """If a policy has refused machines to the job, keep what it said for others that look for the same."""
+    def record_refusal(self, constraints: ConstraintKey, job: Job) -> None:
+        """If a policy has refused machines to the job, keep the reason for jobs with the same constraints."""
         if job.id in self.candidate_cache.refusals:
-            self._why[where] = self.candidate_cache.refusals[job.id]
+            self._refusals[constraints] = self.candidate_cache.refusals[job.id]
+
+    def copy_refusal(self, constraints: ConstraintKey, job: Job) -> None:
+        """Give the job the reason recorded for its constraints, unless it has one of its own."""
+        if constraints in self._refusals:
+            self.candidate_cache.refusals.setdefault(job.id, self._refusals[constraints])
 
-    def tell_why(self, where: Where, job: Job) -> None:
-        if where in self._why:
-            self.candidate_cache.refusals.setdefault(job.id, self._why[where])
+    def preemption_candidates(
+        self,
+        constraints: ConstraintKey,
+        preemption_key: ConstraintKey,
+        job: Job,
+        request: TaskRequest,
+        full_zones: list[str],
+    ) -> list[Candidate]:
+        """Return the machines whose releasing or borrowed capacity may hold a request that no free capacity holds.
 
-    def to_push(self, where: Where, push: Where, job: Job, need: TaskRequest, closed: list[str]) -> list[Candidate]:
-        """The machines on which room for a need comes up or may be made, where none is free. In a flood most needs find
-        none, one team after the other: so the machines that come into question are picked out once a round."""
-        if need.rank > self._line and not need.guaranteed or self.of(push, need):
+        Under a large backlog most requests of every team find none, so the machines with such capacity are filtered
+        once per round.
+        """
+        if request.rank > self._priority_line and not request.guaranteed or self.is_infeasible(preemption_key, request):
             return []
-        known = self._pushable.get(where)
-        if known is None:
-            known = self._pushable[where] = [
-                slot
-                for slot in self.candidate_cache.usable(job, closed)
-                if slot.coming_cpus > 0 or slot.borrowed_cpus > 0
+        preemptible = self._preemptible.get(constraints)
+        if preemptible is None:
+            preemptible = self._preemptible[constraints] = [
+                candidate
+                for candidate in self.candidate_cache.usable(job, full_zones)
+                if candidate.releasing_cpus > 0 or candidate.borrowed_cpus > 0
             ]
-        slots = [
-            slot
-            for slot in known
-            if need.cpus <= slot.free_cpus + slot.coming_cpus + slot.borrowed_cpus + TINY
-            and (slot.coming_cpus > 0 or not need.gentle and (need.guaranteed or slot.weakest > need.rank))
+        candidates = [
+            candidate
+            for candidate in preemptible
+            if request.cpus <= candidate.free_cpus + candidate.releasing_cpus + candidate.borrowed_cpus + EPSILON
+            and (
+                candidate.releasing_cpus > 0
+                or not request.non_preempting
+                and (request.guaranteed or candidate.max_borrowed_rank > request.rank)
+            )
         ]
-        if not slots:
-            self.note(push, need)
-        return slots
+        if not candidates:
+            self.mark_infeasible(preemption_key, request)
+        return candidates
 
-    def set_aside(self, job: Job, smallest: float) -> None:
-        """Keep the emptiest machine that could hold a task of a job that comes first and fits nowhere.
+    def reserve_machine(self, job: Job, smallest_cpus: float) -> None:
+        """Reserve the emptiest machine that could hold a task of a job that comes first but fits nowhere.
 
-        Else smaller tasks (``smallest``: cores of the smallest that waits) would take each bit of room that comes up,
-        and one as big as a machine would never start. What nobody takes from grows emptier with each round, so it stays
-        the same machine; all homes set the same one aside.
+        Otherwise smaller tasks would take all capacity that becomes free, and a task as large as a machine would never
+        start. A reserved machine only gets emptier, so the same one is chosen in the next round, and by every home
+        controller. ``smallest_cpus`` is the number of cores of the smallest pending task.
         """
-        need = need_of(job, False, "")
-        if need.cpus <= smallest:
-            return  # nobody smaller could take the room from under it
+        request = task_request(job, False, "")
+        if request.cpus <= smallest_cpus:
+            return  # no smaller task competes for the capacity
         large = [
-            slot
-            for slot in self.candidate_cache.usable(job)
-            if need.cpus <= slot.cpus + TINY
-            and need.gpus <= slot.gpus + TINY
-            and need.memory_gb <= slot.memory_gb + TINY
+            candidate
+            for candidate in self.candidate_cache.usable(job)
+            if request.cpus <= candidate.cpus + EPSILON
+            and request.gpus <= candidate.gpus + EPSILON
+            and request.memory_gb <= candidate.memory_gb + EPSILON
         ]
         if large:
-            best = max(large, key=lambda slot: (slot.free_cpus + slot.coming_cpus, slot.machine))
-            self.candidate_cache.plan_on(best)
-            best.free_cpus = best.free_gpus = best.free_memory = 0.0
-            best.coming_cpus = best.coming_gpus = best.coming_memory = 0.0
+            best = max(large, key=lambda candidate: (candidate.free_cpus + candidate.releasing_cpus, candidate.machine))
+            self.candidate_cache.mark_planned(best)
+            best.free_cpus = best.free_gpus = best.free_memory_gb = 0.0
+            best.releasing_cpus = best.releasing_gpus = best.releasing_memory_gb = 0.0
--- a/src/gladecroft/coordination/scheduling/ordering.py
+++ b/src/gladecroft/coordination/scheduling/ordering.py
@@ -1,4 +1,4 @@
-"""The order in which waiting work is planned: guarantees, priorities, and what can still be on time."""
+"""Orders pending jobs by their team's guarantee, their age and the objectives that they can still meet."""
 
 from __future__ import annotations
 
@@ -8,128 +8,146 @@
 from gladecroft.coordination.context import ControllerContext
 from gladecroft.protocol.wire import JobKind
 
-#: Seconds that a class without aims is given.
-PATIENCE = 60.0
-#: A job that has waited so many times its aims comes first, and so does one that has waited this many seconds: whole
-#: jobs are to be served, the largest too.
-STARVED = 3.0
-STARVED_S = 240.0
-#: A job none of whose tasks has started by this age, in seconds, comes first with a part of them, the oldest before the
-#: others. By the rules the largest too begin within four minutes; least work first, they stood last for good.
-BEGIN_BY_S = 120.0
-#: The part of its tasks, and how many at the most, that an array begins with which has waited for so long: others are
-#: not to wait for all of it. That a team or class has its floor is seen to by the agreed shares.
-BEGIN_WITH = 0.125
-BEGIN_MOST = 16
-#: The turn of a job that has waited too long for its start.
+#: Target time of jobs whose class has no objective.
+DEFAULT_OBJECTIVE_S = 60.0
+#: A job is starved, and comes first, once it has waited for this many times its longest objective, or for
+#: ``MAX_STARVATION_S`` if that is shorter, so that the largest jobs are served too.
+STARVATION_FACTOR = 3.0
+MAX_STARVATION_S = 240.0
+#: A job of which too few tasks were placed by this age comes first with some of them, the oldest job first. All jobs
+#: are required to start within four minutes; ordered by work alone, the largest would be last forever.
+START_DEADLINE_S = 120.0
+#: An overdue array starts with this fraction of its tasks, and ``MAX_START_TASKS`` at most, so that others need not
+#: wait for all of it. The floors of teams and classes are kept by the admission shares.
+START_FRACTION = 0.125
+MAX_START_TASKS = 16
+#: Precedence of a job that has waited too long for its start.
 OVERDUE = -2
-#: The turn of a job whose start is behind it and whose end is not in danger.
+#: Precedence of a job that has met its start objective and has time left until it must finish.
 CAN_WAIT = 100
 
 
 class JobOrdering:
+    """Computes the precedence of pending jobs and the times at which it changes."""
+
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
         self.cluster_state = context.cluster_state
-        self._aim_spans: dict[tuple[str, str], list[float]] = {}
-        self._patiences: dict[str, float] = {}
+        self._objective_spans: dict[tuple[str, str], list[float]] = {}
+        self._shortest_objectives: dict[str, float] = {}
 
-    def is_pressing(self, job: Job, guaranteed: set[str]) -> bool:
-        """Whether a waiting job comes first, and may evict, for its team's guarantee.
+    def uses_guarantee(self, job: Job, guaranteed: set[str]) -> bool:
+        """Whether a pending job is scheduled on its team's guarantee: it comes first and may evict others.
 
-        A team whose unfinished work all fits into its guarantee need not wait for others at all. One that has more
-        waits for itself: of its jobs those arrays do without the privilege that have missed every aim already. Large
-        ones that were past helping took, and evicted, what would have brought many others home in time.
+        ``guaranteed`` holds the ids of the jobs within the guarantees. If a team's unfinished jobs exceed its
+        guarantee, arrays that have missed all their objectives lose this right; large ones would otherwise take, and
+        evict others from, the capacity with which many jobs could still meet theirs.
         """
         return job.id in guaranteed and not (
-            job.spec.team in self.cluster_state.teams_over_guarantee and self._past_helping(job)
+            job.spec.team in self.cluster_state.teams_over_guarantee and self._missed_all_objectives(job)
         )
 
-    def _past_helping(self, job: Job) -> bool:
-        """Whether nothing more can be won by an array's end. A late service is as much missed as ever."""
+    def _missed_all_objectives(self, job: Job) -> bool:
+        """Whether an array can't meet any of its objectives any more and is not starved either.
+
+        False for services and gangs: a late service is needed as much as before.
+        """
         if job.spec.kind is not JobKind.ARRAY:
             return False
-        limits = self._limits(job)
-        return bool(limits) and max(limits) <= self._age(job) <= STARVED * max(*limits, PATIENCE)
+        latest_ages = self._latest_ages(job)
+        return bool(latest_ages) and max(latest_ages) <= self._age(job) <= STARVATION_FACTOR * max(
+            *latest_ages, DEFAULT_OBJECTIVE_S
+        )
 
-    def overdue(self, job: Job) -> bool:
-        """Whether a job has waited too long to begin. By the records and the time of day: all homes agree."""
-        return self.to_begin(job) > 0 and self._age(job) >= BEGIN_BY_S
+    def is_overdue(self, job: Job) -> bool:
+        """Whether a job has waited too long for its start.
 
-    def to_begin(self, job: Job) -> int:
-        """How many of a job's tasks are to start before it counts as begun."""
+        Depends only on the records and the wall clock, so that all home controllers agree.
+        """
+        return self.tasks_to_start(job) > 0 and self._age(job) >= START_DEADLINE_S
+
+    def tasks_to_start(self, job: Job) -> int:
+        """Return how many more of a job's tasks must be placed before the job counts as started."""
         tasks = job.spec.tasks
-        first = min(BEGIN_MOST, math.ceil(BEGIN_WITH * tasks)) if job.spec.kind is JobKind.ARRAY else tasks
-        return first - job.ever_placed_count
+        to_start = min(MAX_START_TASKS, math.ceil(START_FRACTION * tasks)) if job.spec.kind is JobKind.ARRAY else tasks
+        return to_start - job.ever_placed_count
 
     def _age(self, job: Job) -> float:
         return self.context.wall_time.timestamp() - job.record.accepted_ms / 1000
 
-    def _limits(self, job: Job) -> list[float]:
-        """By what age the job must have started (or, for its end, its tasks must have) to meet each of its aims."""
-        limits = [span - job.spec.estimate_s for span in self._aims(job, "finished")]
-        return limits if self._has_started(job) else limits + self._aims(job, "wait")
+    def _latest_ages(self, job: Job) -> list[float]:
+        """Return, for each objective, the age by which the job must have started (or its last tasks) to meet it."""
+        latest_ages = [span - job.spec.estimate_s for span in self._objectives_s(job, "finished")]
+        return latest_ages if self._is_started(job) else latest_ages + self._objectives_s(job, "wait")
 
-    def turn(self, job: Job) -> tuple[int, float, float]:
-        """A waiting job's turn among others of its privilege and priority, its work in core-seconds, and until when, by
-        the time of day, this and whether it is past helping hold if nothing else changes.
+    def precedence(self, job: Job) -> tuple[int, float, float]:
+        """Return a pending job's precedence, its remaining work in core-seconds and the time at which these may change.
 
-        In an overload not all jobs can meet their aims. The most are on time if those that still can come before
-        those that can't any more, and small ones before big ones. A job that has waited for long comes first.
+        Lower values come first. The precedence is the number of missed objectives, or ``CAN_WAIT``, or 0 for a starved
+        job; an overdue job gets ``OVERDUE`` and its time of acceptance instead of its work. The time is in wall-clock
+        seconds, and covers changes of ``uses_guarantee`` as well.
+
+        In an overload not all jobs can meet their objectives. Most do if jobs that still can come before jobs that
+        can't, and small jobs before large ones.
         """
         spec = job.spec
         age = self._age(job)
-        if self.overdue(job):
+        if self.is_overdue(job):
             return OVERDUE, job.record.accepted_ms / 1000, math.inf
         work = spec.cpus * job.queued_count * max(1.0, spec.estimate_s)
-        limits = self._limits(job)
-        # The ages at which something changes; what holds at such an age itself is told a moment later.
-        steps: list[float] = []
-        turn = -1
-        if self._has_started(job):
-            # Its start is behind it; it can wait as long as its end is not in danger.
-            most = max(spec.cpus, self.cluster_state.limits[spec.team].cpu_limit)
-            steps += [limit - work / most - PATIENCE for limit in limits]
-            if all(limit - age - work / most > PATIENCE for limit in limits):
-                turn = CAN_WAIT
-        limits = limits or [PATIENCE]
-        starved = min(STARVED * max(*limits, PATIENCE), STARVED_S)
-        steps += [*limits, starved]
-        if self.to_begin(job) > 0:
-            steps.append(BEGIN_BY_S)
-        if turn < 0:
-            turn = 0 if age > starved else sum(age >= limit for limit in limits)
-        due = min((step for step in steps if step >= age), default=math.inf)
-        return turn, work, job.record.accepted_ms / 1000 + due + 1e-3
-
-    def _aims(self, job: Job, kind: str) -> list[float]:
-        spans = self._aim_spans.get((job.spec.job_class, kind))
+        latest_ages = self._latest_ages(job)
+        # Ages at which the result changes; the 1 ms added below makes sure that the age has been passed by then.
+        change_ages: list[float] = []
+        precedence = -1
+        if self._is_started(job):
+            # It can wait as long as it is sure to finish in time.
+            max_cpus = max(spec.cpus, self.cluster_state.limits[spec.team].cpu_limit)
+            change_ages += [latest - work / max_cpus - DEFAULT_OBJECTIVE_S for latest in latest_ages]
+            if all(latest - age - work / max_cpus > DEFAULT_OBJECTIVE_S for latest in latest_ages):
+                precedence = CAN_WAIT
+        latest_ages = latest_ages or [DEFAULT_OBJECTIVE_S]
+        starvation_age = min(STARVATION_FACTOR * max(*latest_ages, DEFAULT_OBJECTIVE_S), MAX_STARVATION_S)
+        change_ages += [*latest_ages, starvation_age]
+        if self.tasks_to_start(job) > 0:
+            change_ages.append(START_DEADLINE_S)
+        if precedence < 0:
+            precedence = 0 if age > starvation_age else sum(age >= latest for latest in latest_ages)
+        next_change = min((change for change in change_ages if change >= age), default=math.inf)
+        return precedence, work, job.record.accepted_ms / 1000 + next_change + 1e-3
+
+    def _objectives_s(self, job: Job, kind: str) -> list[float]:
+        """Return the target times of a job's class for one kind of objective ("wait" or "finished")."""
+        spans = self._objective_spans.get((job.spec.job_class, kind))
         if spans is None:
-            spans = self._aim_spans[(job.spec.job_class, kind)] = [
-                aim.within_s
-                for aim in self.context.cluster.objectives
-                if aim.job_class == job.spec.job_class and aim.kind == kind and aim.within_s > 0
+            spans = self._objective_spans[(job.spec.job_class, kind)] = [
+                objective.within_s
+                for objective in self.context.cluster.objectives
+                if objective.job_class == job.spec.job_class and objective.kind == kind and objective.within_s > 0
             ]
-            if len(self._aim_spans) > 1000:
-                self._aim_spans.clear()
+            if len(self._objective_spans) > 1000:
+                self._objective_spans.clear()
         return spans
 
-    def _has_started(self, job: Job) -> bool:
-        """Whether the aim for this job's start is behind it: as many tasks have started as may run at once."""
-        if job.spec.kind is not JobKind.ARRAY or not self._aims(job, "wait") or not job.chunks:
+    def _is_started(self, job: Job) -> bool:
+        """Whether a job has met its start objective: as many tasks have been placed as may run at once."""
+        if job.spec.kind is not JobKind.ARRAY or not self._objectives_s(job, "wait") or not job.chunks:
             return False
-        most = job.spec.tasks
+        max_running = job.spec.tasks
         limit = self.cluster_state.limits.get(job.spec.team)
         if limit is not None and limit.cpus_max > 0 and job.spec.cpus > 0:
-            most = min(most, int((limit.cpus_max + 1e-6) / job.spec.cpus))
-        return job.ever_placed_count >= most
+            max_running = min(max_running, int((limit.cpus_max + 1e-6) / job.spec.cpus))
+        return job.ever_placed_count >= max_running
 
     def target_wait(self, job_class: str) -> float:
-        """The shortest time that the aims give a job of this class."""
-        known = self._patiences.get(job_class)
-        if known is None:
-            spans = [aim.within_s for aim in self.context.cluster.objectives if aim.job_class == job_class]
-            known = self._patiences[job_class] = min((span for span in spans if span > 0), default=PATIENCE)
-            if len(self._patiences) > 1000:
-                self._patiences = {job_class: known}
-        return known
+        """Return the shortest target time of a class's objectives, in seconds."""
+        shortest = self._shortest_objectives.get(job_class)
+        if shortest is None:
+            spans = [
+                objective.within_s for objective in self.context.cluster.objectives if objective.job_class == job_class
+            ]
+            shortest = self._shortest_objectives[job_class] = min(
+                (span for span in spans if span > 0), default=DEFAULT_OBJECTIVE_S
+            )
+            if len(self._shortest_objectives) > 1000:
+                self._shortest_objectives = {job_class: shortest}
+        return shortest
--- a/src/gladecroft/coordination/scheduling/pending_queue.py
+++ b/src/gladecroft/coordination/scheduling/pending_queue.py
@@ -1,9 +1,10 @@
-"""The waiting jobs in the order in which they are planned, kept from round to round.
+"""The queue of pending jobs in scheduling order, kept between rounds.
 
-Jobs that look for the same room stand in one *row*. A round takes the rows' foremost jobs in turn; a row for which no
-room is left is closed, and nothing behind its first job is looked at. Only jobs that have changed, or whose turn
-changes with the time, are put in their places anew. So what a round costs grows with the rows and with what it places,
-not with what waits: going through all that waited took two thirds of a controller's time in a flood.
+Jobs that compete for the same machines share a *subqueue*. A round merges the subqueues by priority. Once a subqueue's
+smallest job is known not to fit, the subqueue is closed and the rest of it is skipped. Only jobs that have changed, or
+whose precedence changes with time, are moved. So the cost of a round grows with the number of subqueues and of
+placements, not with the number of pending jobs; visiting all of them took two thirds of a controller's time under a
+large backlog.
 """
 
 from __future__ import annotations
@@ -21,198 +22,229 @@
 from gladecroft.policies import Panel
 from gladecroft.protocol.wire import JobKind
 
-#: Where a job stands in its row: how much it is past helping, its work in core-seconds, its name.
-Place = tuple[int, float, str]
-#: Cores, cards and memory of a task, and the job's name.
-Size = tuple[float, float, float, str]
+#: Sort key of a job in its subqueue: its precedence, its work in core-seconds (time of acceptance if overdue), its id.
+QueuePosition = tuple[int, float, str]
+#: Cores, GPUs and memory of a task, and the job's id.
+TaskSize = tuple[float, float, float, str]
 
 
 class SubQueue:
-    """Jobs of one team and class, alike in privilege, priority and in the machines that they may use."""
-
-    __slots__ = ("key", "group", "uses_guarantee", "overdue", "privilege", "places", "sizes", "why", "why_round")
+    """Jobs of one team and class with the same priority and the same constraints on machines."""
+
+    __slots__ = (
+        "key",
+        "group",
+        "uses_guarantee",
+        "overdue",
+        "priority_key",
+        "order",
+        "sizes",
+        "close_reason",
+        "closed_in_round",
+    )
 
-    def __init__(self, key: tuple[Any, ...], job: Job, pressing: bool, overdue: bool) -> None:
+    def __init__(self, key: tuple[Any, ...], job: Job, uses_guarantee: bool, overdue: bool) -> None:
         self.key = key
         self.group = (job.spec.team, job.spec.job_class)
-        self.uses_guarantee = pressing
+        self.uses_guarantee = uses_guarantee
         self.overdue = overdue
-        #: What has waited too long to begin first, whatever it is; then work within a guarantee, then by priority.
-        self.privilege = (0, False, 0) if overdue else (1, not pressing, job.priority_rank)
-        self.places: SortedList[Place] = SortedList()
-        self.sizes: SortedList[Size] = SortedList()
-        #: Why the row was last closed, and in which round.
-        self.why = ""
-        self.why_round = -1
+        #: Overdue jobs come first whatever their priority, then jobs that use their team's guarantee, then by priority.
+        self.priority_key = (0, False, 0) if overdue else (1, not uses_guarantee, job.priority_rank)
+        self.order: SortedList[QueuePosition] = SortedList()
+        self.sizes: SortedList[TaskSize] = SortedList()
+        #: Why the subqueue was last closed, and in which round.
+        self.close_reason = ""
+        self.closed_in_round = -1
 
 
 class QueueEntry(msgspec.Struct, eq=False):
-    row: SubQueue
-    place: Place
-    size: Size
-    #: When its place may change with the time, by the time of day in seconds.
-    due: float
+    """The place of a pending job in the queue."""
+
+    subqueue: SubQueue
+    position: QueuePosition
+    size: TaskSize
+    #: Wall-clock time at which its position may change if the job itself does not.
+    reorder_at_s: float
 
 
 class PendingQueue:
+    """All pending jobs, in subqueues that are updated as jobs change and as time passes."""
+
     def __init__(self, cluster_state: ClusterState, ordering: JobOrdering, panel: Panel | None = None) -> None:
         self.cluster_state = cluster_state
         self.panel = panel
         self.ordering = ordering
         self.rounds = 0
-        self._resets = -1
-        self._rows: dict[tuple[Any, ...], SubQueue] = {}
+        self._seen_resets = -1
+        self._subqueues: dict[tuple[Any, ...], SubQueue] = {}
         self._entries: dict[str, QueueEntry] = {}
-        self._due: list[tuple[float, str]] = []
+        self._reorder_heap: list[tuple[float, str]] = []
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def refresh(self, now: float) -> None:
-        """Put the jobs in their places that have changed, or whose time has come. ``now``: the time of day."""
+        """Update the positions of jobs that changed or whose precedence changes by ``now`` (wall-clock seconds)."""
         cluster_state = self.cluster_state
         guaranteed = cluster_state.guaranteed_jobs()
-        if self._resets != cluster_state.reset_count:
-            self._resets = cluster_state.reset_count
-            self._rows.clear()
+        if self._seen_resets != cluster_state.reset_count:
+            self._seen_resets = cluster_state.reset_count
+            self._subqueues.clear()
             self._entries.clear()
-            self._due.clear()
+            self._reorder_heap.clear()
             cluster_state.dirty_jobs.update(cluster_state.queued_jobs)
-        moved, cluster_state.dirty_jobs = cluster_state.dirty_jobs, set()
-        while self._due and self._due[0][0] <= now:
-            moved.add(heapq.heappop(self._due)[1])
-        for name in moved:
-            job = cluster_state.queued_jobs.get(name)
-            self._set(name, job, job is not None and self.ordering.is_pressing(job, guaranteed), now)
-        if len(self._due) > 4 * len(self._entries) + 100:
-            self._due = [(entry.due, name) for name, entry in self._entries.items() if entry.due < float("inf")]
-            heapq.heapify(self._due)
-
-    def _set(self, name: str, job: Job | None, pressing: bool, now: float) -> None:
-        old = self._entries.get(name)
+        changed, cluster_state.dirty_jobs = cluster_state.dirty_jobs, set()
+        while self._reorder_heap and self._reorder_heap[0][0] <= now:
+            changed.add(heapq.heappop(self._reorder_heap)[1])
+        for job_id in changed:
+            job = cluster_state.queued_jobs.get(job_id)
+            self._update(job_id, job, job is not None and self.ordering.uses_guarantee(job, guaranteed), now)
+        if len(self._reorder_heap) > 4 * len(self._entries) + 100:
+            self._reorder_heap = [
+                (entry.reorder_at_s, job_id)
+                for job_id, entry in self._entries.items()
+                if entry.reorder_at_s < float("inf")
+            ]
+            heapq.heapify(self._reorder_heap)
+
+    def _update(self, job_id: str, job: Job | None, uses_guarantee: bool, now: float) -> None:
+        entry = self._entries.get(job_id)
         if job is None:
-            if old is not None:
-                self._take_out(old)
-                del self._entries[name]
+            if entry is not None:
+                self._remove(entry)
+                del self._entries[job_id]
             return
-        turn, work, due = self.ordering.turn(job)
-        overdue = turn == OVERDUE
-        key = row_key(job, pressing, self.panel is not None and self.panel.by_job(), overdue)
-        place = (turn, work, name)
-        if old is not None:
-            if old.row.key == key and old.place == place and old.due == due:
+        precedence, work, reorder_at_s = self.ordering.precedence(job)
+        overdue = precedence == OVERDUE
+        key = subqueue_key(job, uses_guarantee, self.panel is not None and self.panel.by_job(), overdue)
+        position = (precedence, work, job_id)
+        if entry is not None:
+            if entry.subqueue.key == key and entry.position == position and entry.reorder_at_s == reorder_at_s:
                 return
-            self._take_out(old)
-        row = self._rows.get(key)
-        if row is None:
-            row = self._rows[key] = SubQueue(key, job, pressing, overdue)
+            self._remove(entry)
+        subqueue = self._subqueues.get(key)
+        if subqueue is None:
+            subqueue = self._subqueues[key] = SubQueue(key, job, uses_guarantee, overdue)
         spec = job.spec
-        size = (spec.cpus, spec.gpus, spec.memory_gb, name)
-        self._entries[name] = QueueEntry(row, place, size, due)
-        row.places.add(place)
-        row.sizes.add(size)
-        if due < float("inf"):
-            # A due that has passed already is looked at again with the next round, not in this one.
-            heapq.heappush(self._due, (max(due, now + 1e-3), name))
-
-    def _take_out(self, entry: QueueEntry) -> None:
-        row = entry.row
-        row.places.remove(entry.place)
-        row.sizes.remove(entry.size)
-        if not row.places:
-            del self._rows[row.key]
-
-    def round(self, tier: Callable[[SubQueue], int] | None = None) -> SchedulingRound:
-        """Begin a round; ``refresh`` comes before it. ``tier``: what comes before privilege and priority, lowest
-        first; it may rise in the course of a round."""
+        size = (spec.cpus, spec.gpus, spec.memory_gb, job_id)
+        self._entries[job_id] = QueueEntry(subqueue, position, size, reorder_at_s)
+        subqueue.order.add(position)
+        subqueue.sizes.add(size)
+        if reorder_at_s < float("inf"):
+            # A time that has passed already is handled in the next round, so that this one ends.
+            heapq.heappush(self._reorder_heap, (max(reorder_at_s, now + 1e-3), job_id))
+
+    def _remove(self, entry: QueueEntry) -> None:
+        subqueue = entry.subqueue
+        subqueue.order.remove(entry.position)
+        subqueue.sizes.remove(entry.size)
+        if not subqueue.order:
+            del self._subqueues[subqueue.key]
+
+    def start_round(self, tier: Callable[[SubQueue], int] | None = None) -> SchedulingRound:
+        """Begin a scheduling round over the queue as of the last ``refresh``.
+
+        ``tier`` gives a subqueue's tier, which is compared before its priority, lowest first. It may rise during the
+        round.
+        """
         self.rounds += 1
-        return SchedulingRound(self.cluster_state.queued_jobs, list(self._rows.values()), self.rounds, tier)
+        return SchedulingRound(self.cluster_state.queued_jobs, list(self._subqueues.values()), self.rounds, tier)
 
-    def why(self, job: Job) -> tuple[int, str]:
-        """In which round the job's row was last closed, and why."""
+    def last_close(self, job: Job) -> tuple[int, str]:
+        """Return the round in which the job's subqueue was last closed, and why."""
         entry = self._entries.get(job.id)
-        return (-1, "") if entry is None else (entry.row.why_round, entry.row.why)
+        return (-1, "") if entry is None else (entry.subqueue.closed_in_round, entry.subqueue.close_reason)
 
 
-def row_key(job: Job, pressing: bool, by_job: bool = False, overdue: bool = False) -> tuple[Any, ...]:
+def subqueue_key(job: Job, uses_guarantee: bool, by_job: bool = False, overdue: bool = False) -> tuple[Any, ...]:
+    """Return the key of the subqueue in which a job belongs. ``by_job``: policies treat every job by itself."""
     spec = job.spec
-    alone = ""
+    job_id = ""
     if by_job or spec.kind is JobKind.GANG or ((spec.one_zone or spec.spread) and job.placed_count):
-        # What room it looks for depends on where its other tasks are, or on what policies say of it alone.
-        alone = job.id
+        # The machines it may use depend on where its other tasks are, or on policies that judge jobs individually.
+        job_id = job.id
     return (
         spec.team,
         spec.job_class,
         not overdue,
-        not pressing,
+        not uses_guarantee,
         job.priority_rank,
         tuple(spec.types) if spec.types is not None else None,
         spec.zone,
         spec.spot,
         spec.spread,
         spec.one_zone,
-        alone,
+        job_id,
     )
 
 
 class SchedulingRound:
-    """One going through the rows. What is iterated over must not be refreshed meanwhile."""
+    """One pass over the pending jobs. The queue must not be refreshed during the iteration."""
 
     def __init__(
-        self, jobs: dict[str, Job], rows: list[SubQueue], number: int, tier: Callable[[SubQueue], int] | None = None
+        self,
+        jobs: dict[str, Job],
+        subqueues: list[SubQueue],
+        number: int,
+        tier: Callable[[SubQueue], int] | None = None,
     ) -> None:
         self._jobs = jobs
         self.number = number
         self._tier = tier
         self._closed: set[int] = set()
-        #: Sizes that found no room, by row.
-        self._lacking: dict[int, list[Size]] = {}
+        #: By subqueue: task sizes for which no machine had capacity.
+        self._infeasible: dict[int, list[TaskSize]] = {}
+        #: Heap with the next job of each open subqueue, and the offset of that job in it.
         self._heads = [
-            (0 if tier is None else tier(row), row.privilege, row.places[0], 0, index, row)
-            for index, row in enumerate(rows)
+            (0 if tier is None else tier(subqueue), subqueue.priority_key, subqueue.order[0], 0, index, subqueue)
+            for index, subqueue in enumerate(subqueues)
         ]
         heapq.heapify(self._heads)
 
     def __iter__(self) -> Iterator[tuple[Job, SubQueue]]:
         heads, tier = self._heads, self._tier
         while heads:
-            level, privilege, place, at, index, row = heapq.heappop(heads)
+            popped_tier, priority_key, position, offset, index, subqueue = heapq.heappop(heads)
             if tier is not None:
-                now = tier(row)
-                if now > level:  # it has got what put it first
-                    heapq.heappush(heads, (now, privilege, place, at, index, row))
+                current_tier = tier(subqueue)
+                if current_tier > popped_tier:  # placements of this round have used up its lower tier
+                    heapq.heappush(heads, (current_tier, priority_key, position, offset, index, subqueue))
                     continue
-            yield self._jobs[place[2]], row
-            if id(row) in self._closed:
+            yield self._jobs[position[2]], subqueue
+            if id(subqueue) in self._closed:
                 continue
-            lacking = self._lacking.get(id(row))
-            for after, place in enumerate(row.places.islice(at + 1), at + 1):
-                if lacking is None or not self._too_big(self._jobs[place[2]], lacking):
-                    heapq.heappush(heads, (level, privilege, place, after, index, row))
+            infeasible = self._infeasible.get(id(subqueue))
+            for following, position in enumerate(subqueue.order.islice(offset + 1), offset + 1):
+                if infeasible is None or not self._known_infeasible(self._jobs[position[2]], infeasible):
+                    heapq.heappush(heads, (popped_tier, priority_key, position, following, index, subqueue))
                     break
 
     @staticmethod
-    def _too_big(job: Job, lacking: list[Size]) -> bool:
+    def _known_infeasible(job: Job, infeasible: list[TaskSize]) -> bool:
         spec = job.spec
         return any(
-            spec.cpus >= cpus and spec.gpus >= gpus and spec.memory_gb >= memory for cpus, gpus, memory, _ in lacking
+            spec.cpus >= cpus and spec.gpus >= gpus and spec.memory_gb >= memory for cpus, gpus, memory, _ in infeasible
         )
 
-    def smallest(self, row: SubQueue) -> Job:
-        return self._jobs[row.sizes[0][3]]
+    def smallest_job(self, subqueue: SubQueue) -> Job:
+        """Return the job of a subqueue with the smallest tasks."""
+        return self._jobs[subqueue.sizes[0][3]]
+
+    def close(self, subqueue: SubQueue, reason: str) -> None:
+        """Skip the rest of a subqueue in this round, for a reason that is shown to the users of its jobs."""
+        self.skip(subqueue)
+        subqueue.close_reason, subqueue.closed_in_round = reason, self.number
 
-    def close(self, row: SubQueue, why: str) -> None:
-        """Nothing more of the row is looked at in this round, for a reason that its jobs' users are told."""
-        self.skip(row)
-        row.why, row.why_round = why, self.number
+    def skip(self, subqueue: SubQueue) -> None:
+        """Skip the rest of a subqueue in this round."""
+        self._closed.add(id(subqueue))
 
-    def skip(self, row: SubQueue) -> None:
-        self._closed.add(id(row))
+    def mark_infeasible(self, subqueue: SubQueue, job: Job) -> bool:
+        """Record that a job found no capacity; jobs of its subqueue with tasks no smaller are skipped in this round.
 
-    def mark_infeasible(self, row: SubQueue, job: Job) -> bool:
-        """A job of the row has found no room; equal and bigger ones of the row are passed over in this round. Whether
-        that goes for the whole row."""
+        Returns whether that goes for every job of the subqueue.
+        """
         spec = job.spec
-        lacking = self._lacking.setdefault(id(row), [])
-        lacking.append((spec.cpus, spec.gpus, spec.memory_gb, job.id))
-        return self._too_big(self.smallest(row), lacking)
+        infeasible = self._infeasible.setdefault(id(subqueue), [])
+        infeasible.append((spec.cpus, spec.gpus, spec.memory_gb, job.id))
+        return self._known_infeasible(self.smallest_job(subqueue), infeasible)
--- a/src/gladecroft/coordination/scheduling/placement.py
+++ b/src/gladecroft/coordination/scheduling/placement.py
@@ -1,8 +1,8 @@
-"""The two cooperating placers, after CoSpot (Iqbal et al., SoCC '22), as pure functions over slots.
+"""The two cooperating placers, after CoSpot (Iqbal et al., SoCC '22), as pure functions over candidate machines.
 
-The high-priority placer ranks machines and offers its top N; the low-priority side picks among the offers the one
-that costs it the fewest evictions. Low-priority work is placed by the low-priority placer, which keeps away from
-machines with high-priority work where it can.
+For a high-priority task the high-priority placer ranks the machines and offers its top N; the low-priority placer
+chooses the offer with the fewest evictions. The low-priority placer places low-priority tasks by itself, and avoids
+machines with high-priority tasks where it can.
 """
 
 from __future__ import annotations
@@ -13,13 +13,17 @@
 
 import msgspec
 
-TINY = 1e-6
-#: A machine lists all its tasks in one report, which may take 64 KiB: with the longest names that is room for so many.
-MOST_TASKS = 400
+#: Tolerance of comparisons between sums of cores, GPUs or memory.
+EPSILON = 1e-6
+#: A machine lists all its tasks in one report of at most 64 KiB, which holds this many with the longest names.
+MAX_TASKS_PER_MACHINE = 400
 
 
 class TaskRequest(msgspec.Struct, gc=False, frozen=True):
-    """What one task takes, and whom it may push away. ``home``: the controller that places it."""
+    """The resources that one task needs, and the rights by which it may evict others.
+
+    ``rank`` is its priority, 0 being the highest; ``home`` is the controller that places it.
+    """
 
     cpus: float
     gpus: float
@@ -29,14 +33,14 @@
     team: str
     guaranteed: bool
     home: str = ""
-    #: Has more than its fair share in an overload: it takes what is free, and pushes nobody away.
-    gentle: bool = False
-    #: Teams' classes that have no more than their floor or share in an overload: their work is not pushed away.
-    spared: Container[tuple[str, str]] = ()
+    #: Its team and class exceed their fair share in an overload: it may use free capacity only.
+    non_preempting: bool = False
+    #: (team, class) pairs that use no more than their floor or share in an overload; their tasks are not evicted.
+    protected: Container[tuple[str, str]] = ()
 
 
 class PlacedTask(msgspec.Struct, gc=False, eq=False):
-    """A task that is placed on a machine. ``stopping``: it has been told to go."""
+    """A task on a machine. ``stopping``: it has been told to stop and still holds its resources."""
 
     job: str
     number: int
@@ -46,287 +50,331 @@
     rank: int
     team: str
     guaranteed: bool
-    placed: int
+    placed_s: int
     stopping: bool = False
     job_class: str = ""
-    #: How many tasks stop if this one is evicted: all of a gang's, else one.
-    together: int = 1
+    #: Number of tasks that stop if this one is evicted: all placed ones of its gang, else 1.
+    gang_size: int = 1
 
 
 class Candidate(msgspec.Struct, eq=False):
-    """A machine as the placers see it. ``owner``: the controller in whose part it is; ``mine``: that is this one."""
+    """A machine as a candidate for placement: its resources, images and tasks.
+
+    ``owner`` is the controller that owns the machine; ``owned`` says whether that is this controller.
+    """
 
     machine: str
     zone: str
     spot: bool
-    mine: bool
+    owned: bool
     owner: str
     cpus: float
     gpus: float
     memory_gb: float
     images: set[str]
-    residents: list[PlacedTask]
+    tasks: list[PlacedTask]
     free_cpus: float = 0.0
     free_gpus: float = 0.0
-    free_memory: float = 0.0
+    free_memory_gb: float = 0.0
+    #: Cores used by high-priority tasks.
     high_priority_cpus: float = 0.0
-    coming_cpus: float = 0.0
-    coming_gpus: float = 0.0
-    coming_memory: float = 0.0
-    #: What residents outside their guarantee hold: the most that evictions could bring.
+    #: Resources of stopping tasks, which will be free once they have ended.
+    releasing_cpus: float = 0.0
+    releasing_gpus: float = 0.0
+    releasing_memory_gb: float = 0.0
+    #: Cores of tasks outside their team's guarantee: the most that evictions could free.
     borrowed_cpus: float = 0.0
-    #: The lowest priority among them: the highest rank, -1 if there are none.
-    weakest: int = -1
-    #: How many more tasks its reports can list.
-    places: int = MOST_TASKS
-    #: What policies make of the machine for the job at hand: it decides between machines that are otherwise equal.
+    #: Largest rank (lowest priority) of those tasks; -1 if there are none.
+    max_borrowed_rank: int = -1
+    #: How many more tasks the machine can list in its report.
+    remaining_tasks: int = MAX_TASKS_PER_MACHINE
+    #: Score by the policies for the current job; the lower one wins between machines that are otherwise equal.
     tie_breaker: float = 0.0
 
-    def count(self, line: int) -> None:
-        """Work out what is free, what stopping tasks will free, and the core use of high-priority work."""
-        self.residents.sort(key=lambda task: task.placed)
+    def recompute(self, priority_line: int) -> None:
+        """Recompute free, releasing and borrowed capacity and the cores of high-priority tasks from the tasks."""
+        self.tasks.sort(key=lambda task: task.placed_s)
         self.borrowed_cpus = 0.0
-        self.weakest = -1
-        self.free_cpus, self.free_gpus, self.free_memory = self.cpus, self.gpus, self.memory_gb
-        self.high_priority_cpus = self.coming_cpus = self.coming_gpus = self.coming_memory = 0.0
-        for task in self.residents:
+        self.max_borrowed_rank = -1
+        self.free_cpus, self.free_gpus, self.free_memory_gb = self.cpus, self.gpus, self.memory_gb
+        self.high_priority_cpus = self.releasing_cpus = self.releasing_gpus = self.releasing_memory_gb = 0.0
+        for task in self.tasks:
             self.free_cpus -= task.cpus
             self.free_gpus -= task.gpus
-            self.free_memory -= task.memory_gb
-            if task.rank <= line:
+            self.free_memory_gb -= task.memory_gb
+            if task.rank <= priority_line:
                 self.high_priority_cpus += task.cpus
             if task.stopping:
-                self.coming_cpus += task.cpus
-                self.coming_gpus += task.gpus
-                self.coming_memory += task.memory_gb
+                self.releasing_cpus += task.cpus
+                self.releasing_gpus += task.gpus
+                self.releasing_memory_gb += task.memory_gb
             elif not task.guaranteed:
                 self.borrowed_cpus += task.cpus
-                self.weakest = max(self.weakest, task.rank)
-        self._keep_places(MOST_TASKS - len(self.residents))
+                self.max_borrowed_rank = max(self.max_borrowed_rank, task.rank)
+        self._set_remaining_tasks(MAX_TASKS_PER_MACHINE - len(self.tasks))
 
-    def _keep_places(self, places: int) -> None:
-        """Without this, tasks of no cores and no memory would all go to one machine."""
-        self.places = places
-        if places <= 0:
+    def _set_remaining_tasks(self, remaining: int) -> None:
+        """Set how many more tasks fit into a report; a machine at its limit has no free cores.
+
+        Without the limit, tasks that request neither cores nor memory would all go to one machine.
+        """
+        self.remaining_tasks = remaining
+        if remaining <= 0:
             self.free_cpus = min(self.free_cpus, -1.0)
 
-    def fits(self, need: TaskRequest) -> bool:
+    def fits(self, request: TaskRequest) -> bool:
+        """Whether the free capacity holds a request."""
         return (
-            need.cpus <= self.free_cpus + TINY
-            and need.gpus <= self.free_gpus + TINY
-            and need.memory_gb <= self.free_memory + TINY
+            request.cpus <= self.free_cpus + EPSILON
+            and request.gpus <= self.free_gpus + EPSILON
+            and request.memory_gb <= self.free_memory_gb + EPSILON
         )
 
-    def will_fit(self, need: TaskRequest) -> bool:
+    def fits_after_release(self, request: TaskRequest) -> bool:
+        """Whether free and releasing capacity together hold a request."""
         return (
-            need.cpus <= self.free_cpus + self.coming_cpus + TINY
-            and need.gpus <= self.free_gpus + self.coming_gpus + TINY
-            and need.memory_gb <= self.free_memory + self.coming_memory + TINY
+            request.cpus <= self.free_cpus + self.releasing_cpus + EPSILON
+            and request.gpus <= self.free_gpus + self.releasing_gpus + EPSILON
+            and request.memory_gb <= self.free_memory_gb + self.releasing_memory_gb + EPSILON
         )
 
-    def has_victims(self, need: TaskRequest) -> bool:
-        """Whether the need might push away anything here: False means surely not."""
-        return not need.gentle and (self.weakest > need.rank or need.guaranteed and self.weakest >= 0)
+    def may_have_victims(self, request: TaskRequest) -> bool:
+        """Whether the request might be allowed to evict a task here; False is certain, True is not."""
+        return not request.non_preempting and (
+            self.max_borrowed_rank > request.rank or request.guaranteed and self.max_borrowed_rank >= 0
+        )
 
-    def add(self, task: PlacedTask) -> None:
-        """Note a task that this round has placed."""
-        self.residents.append(task)
+    def add_task(self, task: PlacedTask) -> None:
+        """Add a task that this round has placed."""
+        self.tasks.append(task)
         if not task.guaranteed:
-            self.weakest = max(self.weakest, task.rank)
+            self.max_borrowed_rank = max(self.max_borrowed_rank, task.rank)
 
-    def free_up(self, victim: PlacedTask) -> None:
-        """Count on a victim's room, which it is about to leave."""
+    def mark_stopping(self, victim: PlacedTask) -> None:
+        """Mark a victim as stopping and count its resources as releasing."""
         victim.stopping = True
-        self.coming_cpus += victim.cpus
-        self.coming_gpus += victim.gpus
-        self.coming_memory += victim.memory_gb
+        self.releasing_cpus += victim.cpus
+        self.releasing_gpus += victim.gpus
+        self.releasing_memory_gb += victim.memory_gb
 
-    def room(self) -> tuple[float, ...]:
+    def snapshot(self) -> tuple[float, ...]:
+        """Return the capacity figures, for ``restore``."""
         return (
-            self.free_cpus, self.free_gpus, self.free_memory, self.high_priority_cpus,
-            self.coming_cpus, self.coming_gpus, self.coming_memory,
+            self.free_cpus, self.free_gpus, self.free_memory_gb, self.high_priority_cpus,
+            self.releasing_cpus, self.releasing_gpus, self.releasing_memory_gb,
         )  # fmt: skip
 
-    def set_room(self, room: tuple[float, ...]) -> None:
+    def restore(self, values: tuple[float, ...]) -> None:
+        """Set the capacity figures back to a ``snapshot``."""
         (
-            self.free_cpus, self.free_gpus, self.free_memory, self.high_priority_cpus,
-            self.coming_cpus, self.coming_gpus, self.coming_memory,
-        ) = room  # fmt: skip
+            self.free_cpus, self.free_gpus, self.free_memory_gb, self.high_priority_cpus,
+            self.releasing_cpus, self.releasing_gpus, self.releasing_memory_gb,
+        ) = values  # fmt: skip
 
-    def take(self, need: TaskRequest, line: int) -> None:
-        self.free_cpus -= need.cpus
-        self.free_gpus -= need.gpus
-        self.free_memory -= need.memory_gb
-        if need.rank <= line:
-            self.high_priority_cpus += need.cpus
-        self.images.add(need.image)
-        self._keep_places(self.places - 1)
+    def allocate(self, request: TaskRequest, priority_line: int) -> None:
+        """Deduct a request from the free capacity."""
+        self.free_cpus -= request.cpus
+        self.free_gpus -= request.gpus
+        self.free_memory_gb -= request.memory_gb
+        if request.rank <= priority_line:
+            self.high_priority_cpus += request.cpus
+        self.images.add(request.image)
+        self._set_remaining_tasks(self.remaining_tasks - 1)
 
 
 class Offer(msgspec.Struct):
-    slot: Candidate
+    """A machine for a task, and the tasks that must be evicted from it."""
+
+    candidate: Candidate
     victims: list[PlacedTask]
 
-    def evictions(self) -> int:
-        """How many tasks stop: a gang counts whole, and once."""
-        gangs = {victim.job: victim.together for victim in self.victims if victim.together > 1}
-        return sum(gangs.values()) + sum(victim.together == 1 for victim in self.victims)
+    def eviction_count(self) -> int:
+        """Return how many tasks would stop; a gang counts with all its tasks, and once."""
+        gangs = {victim.job: victim.gang_size for victim in self.victims if victim.gang_size > 1}
+        return sum(gangs.values()) + sum(victim.gang_size == 1 for victim in self.victims)
+
 
+def may_evict(request: TaskRequest, victim: PlacedTask) -> bool:
+    """Whether a request may evict a task, by the preemption rules of PROTOCOL.
 
-def may_evict(need: TaskRequest, victim: PlacedTask) -> bool:
-    """PROTOCOL's preemption rules; work within its team's guarantee is never evicted."""
-    if victim.guaranteed or victim.stopping or need.gentle:
+    A task within its team's guarantee is never evicted.
+    """
+    if victim.guaranteed or victim.stopping or request.non_preempting:
         return False
-    if need.spared and (victim.team, victim.job_class) in need.spared:
+    if request.protected and (victim.team, victim.job_class) in request.protected:
         return False
-    return need.rank < victim.rank or (need.guaranteed and victim.team != need.team)
+    return request.rank < victim.rank or (request.guaranteed and victim.team != request.team)
 
 
-def victims_on(slot: Candidate, need: TaskRequest) -> list[PlacedTask] | None:
-    """The tasks to evict so that the need fits, oldest-placed first; None if it can't be made to fit."""
-    cpus = slot.free_cpus + slot.coming_cpus
-    if need.cpus > cpus + slot.borrowed_cpus + TINY:
+def select_victims(candidate: Candidate, request: TaskRequest) -> list[PlacedTask] | None:
+    """Select the tasks to evict so that a request fits, earliest placed first; None if no evictions make it fit."""
+    cpus = candidate.free_cpus + candidate.releasing_cpus
+    if request.cpus > cpus + candidate.borrowed_cpus + EPSILON:
         return None
-    if not slot.has_victims(need) and not slot.will_fit(need):
-        return None  # asked of every machine for each task that finds no room: so without a look at all that is there
-    gpus = slot.free_gpus + slot.coming_gpus
-    memory = slot.free_memory + slot.coming_memory
-    chosen: list[PlacedTask] = []
-    for task in slot.residents:  # oldest-placed first
-        if need.cpus <= cpus + TINY and need.gpus <= gpus + TINY and need.memory_gb <= memory + TINY:
+    if not candidate.may_have_victims(request) and not candidate.fits_after_release(request):
+        return None  # called for each machine and each task that fits nowhere: avoids the loop over the tasks
+    gpus = candidate.free_gpus + candidate.releasing_gpus
+    memory = candidate.free_memory_gb + candidate.releasing_memory_gb
+    victims: list[PlacedTask] = []
+    for task in candidate.tasks:  # sorted by time of placement
+        if request.cpus <= cpus + EPSILON and request.gpus <= gpus + EPSILON and request.memory_gb <= memory + EPSILON:
             break
-        # Most are within their guarantee; said here before a call is spent on each.
-        if not task.guaranteed and not task.stopping and may_evict(need, task):
-            chosen.append(task)
+        # Most tasks are within their guarantee; checking that here saves a call for each.
+        if not task.guaranteed and not task.stopping and may_evict(request, task):
+            victims.append(task)
             cpus += task.cpus
             gpus += task.gpus
             memory += task.memory_gb
-    if need.cpus <= cpus + TINY and need.gpus <= gpus + TINY and need.memory_gb <= memory + TINY:
-        return chosen
+    if request.cpus <= cpus + EPSILON and request.gpus <= gpus + EPSILON and request.memory_gb <= memory + EPSILON:
+        return victims
     return None
 
 
-def fitting_in(need: TaskRequest, slots: Iterable[Candidate]) -> list[Candidate]:
-    """The slots that hold the need now. Asked of every machine for every job that waits, so without a call for each."""
-    cpus, gpus, memory = need.cpus, need.gpus, need.memory_gb
+def filter_fitting(request: TaskRequest, candidates: Iterable[Candidate]) -> list[Candidate]:
+    """Return the candidates whose free capacity holds a request.
+
+    Runs over all machines for every pending job, so it compares inline instead of calling ``fits`` for each.
+    """
+    cpus, gpus, memory = request.cpus, request.gpus, request.memory_gb
     return [
-        slot
-        for slot in slots
-        if cpus <= slot.free_cpus + TINY and gpus <= slot.free_gpus + TINY and memory <= slot.free_memory + TINY
+        candidate
+        for candidate in candidates
+        if cpus <= candidate.free_cpus + EPSILON
+        and gpus <= candidate.free_gpus + EPSILON
+        and memory <= candidate.free_memory_gb + EPSILON
     ]
 
 
 class HighPriorityPlacer:
-    """Ranks machines by the core use of high-priority work, busiest first, and offers the top N.
+    """Ranks machines by the cores that high-priority tasks use, busiest first, and offers the top N.
 
-    With the Spot Avoiding Filter machines that need no eviction rank first. Its own part comes before the others'.
+    Machines that the home controller owns come before the others. With the Spot Avoiding Filter (``avoid_evictions``)
+    machines that need evictions are offered only if no machine fits without.
     """
 
-    def __init__(self, top: int, avoid_evictions: bool) -> None:
-        self.top = top
+    def __init__(self, max_offers: int, avoid_evictions: bool) -> None:
+        self.max_offers = max_offers
         self.avoid_evictions = avoid_evictions
 
     @staticmethod
-    def sort_key(need: TaskRequest, slot: Candidate) -> tuple[Any, ...]:
-        """Its own part first, then by the core use of high-priority work, busiest first."""
-        return slot.owner != need.home, -slot.high_priority_cpus, slot.tie_breaker, slot.machine
-
-    def offers(self, need: TaskRequest, slots: list[Candidate]) -> list[Offer]:
-        fitting = fitting_in(need, slots)
-        offers = [Offer(slot, []) for slot in fitting]
+    def sort_key(request: TaskRequest, candidate: Candidate) -> tuple[Any, ...]:
+        """Return the sort key of a candidate: machines owned by the home controller first, then the busiest."""
+        return candidate.owner != request.home, -candidate.high_priority_cpus, candidate.tie_breaker, candidate.machine
+
+    def rank_offers(self, request: TaskRequest, candidates: list[Candidate]) -> list[Offer]:
+        """Return the best N offers for a request."""
+        fitting = filter_fitting(request, candidates)
+        offers = [Offer(candidate, []) for candidate in fitting]
         if not offers or not self.avoid_evictions:
-            there = {slot.machine for slot in fitting}
-            for slot in slots:
-                if slot.machine not in there:
-                    victims = victims_on(slot, need)
+            fitting_names = {candidate.machine for candidate in fitting}
+            for candidate in candidates:
+                if candidate.machine not in fitting_names:
+                    victims = select_victims(candidate, request)
                     if victims:
-                        offers.append(Offer(slot, victims))
-        offers.sort(key=lambda offer: (self.avoid_evictions and bool(offer.victims), *self.sort_key(need, offer.slot)))
-        return offers[: self.top]
+                        offers.append(Offer(candidate, victims))
+        offers.sort(
+            key=lambda offer: (self.avoid_evictions and bool(offer.victims), *self.sort_key(request, offer.candidate))
+        )
+        return offers[: self.max_offers]
 
 
 class LowPriorityPlacer:
-    """Answers the high-priority placer's offers, and places low-priority work itself."""
+    """Chooses among the high-priority placer's offers, and places low-priority tasks."""
+
+    def choose_offer(self, request: TaskRequest, offers: list[Offer]) -> Offer | None:
+        """Choose the offer with the fewest evictions; ties go to a spot machine, a cached image, the placer's order.
 
-    def choose(self, need: TaskRequest, offers: list[Offer]) -> Offer | None:
-        """The offer with the fewest evictions; among equals a cheap machine, so that dear ones empty and can be
-        returned, then a cached image, then the high placer's order."""
+        Spot machines are preferred so that on-demand machines empty and can be returned.
+        """
         if not offers:
             return None
         return min(
-            offers, key=lambda offer: (offer.evictions(), not offer.slot.spot, need.image not in offer.slot.images)
+            offers,
+            key=lambda offer: (
+                offer.eviction_count(),
+                not offer.candidate.spot,
+                request.image not in offer.candidate.images,
+            ),
         )
 
     @staticmethod
-    def sort_key(need: TaskRequest, slot: Candidate) -> tuple[Any, ...]:
-        """Machines without high-priority work first, among them cheap ones, then one's own part, cached images and
-        full machines."""
+    def sort_key(request: TaskRequest, candidate: Candidate) -> tuple[Any, ...]:
+        """Return the sort key of a candidate.
+
+        Machines without high-priority tasks come first, then spot machines, machines owned by the home controller,
+        those with a cached image and those with the least free cores.
+        """
         return (
-            slot.high_priority_cpus > TINY,
-            not slot.spot,
-            slot.owner != need.home,
-            need.image not in slot.images,
-            slot.free_cpus,
-            slot.tie_breaker,
-            slot.machine,
+            candidate.high_priority_cpus > EPSILON,
+            not candidate.spot,
+            candidate.owner != request.home,
+            request.image not in candidate.images,
+            candidate.free_cpus,
+            candidate.tie_breaker,
+            candidate.machine,
         )
 
-    def place(self, need: TaskRequest, slots: list[Candidate]) -> Offer | None:
-        """A machine without high-priority work if there is one; among those cheap ones, so that dear ones empty and
-        can be returned, then cached images and full machines."""
-        fitting = fitting_in(need, slots)
+    def place(self, request: TaskRequest, candidates: list[Candidate]) -> Offer | None:
+        """Place a low-priority task on the best machine that fits it, else on one where it may evict others."""
+        fitting = filter_fitting(request, candidates)
         if fitting:
-            return Offer(min(fitting, key=lambda slot: self.sort_key(need, slot)), [])
-        return self.push(need, slots)
+            return Offer(min(fitting, key=lambda candidate: self.sort_key(request, candidate)), [])
+        return self.preempt(request, candidates)
 
-    def push(self, need: TaskRequest, slots: Iterable[Candidate]) -> Offer | None:
-        """The machine with the fewest evictions; work of low priority pushes others away only for a guarantee."""
-        if not need.guaranteed:
+    def preempt(self, request: TaskRequest, candidates: Iterable[Candidate]) -> Offer | None:
+        """Choose the machine with the fewest evictions; a low-priority task may evict only by its team's guarantee."""
+        if not request.guaranteed:
             return None
         best: Offer | None = None
         fewest = 0
-        for slot in slots:
-            if need.cpus > slot.free_cpus + slot.coming_cpus + slot.borrowed_cpus + TINY:
+        for candidate in candidates:
+            if request.cpus > candidate.free_cpus + candidate.releasing_cpus + candidate.borrowed_cpus + EPSILON:
                 continue
-            victims = victims_on(slot, need)
+            victims = select_victims(candidate, request)
             if victims:
-                offer = Offer(slot, victims)
-                count = offer.evictions()
+                offer = Offer(candidate, victims)
+                count = offer.eviction_count()
                 if best is None or count < fewest:
                     best, fewest = offer, count
                     if count == 1:
-                        break  # fewer there are not
+                        break  # one eviction is the minimum
         return best
 
 
 class Ranking:
-    """The machines that hold a need without eviction, best first.
+    """The machines that fit a request without eviction, best first.
 
-    The tasks of a job are alike, so their machines are ranked once for all of them; a machine that has taken one is
-    put where it then belongs.
+    All tasks of a job have the same request, so machines are ranked once per job; a machine that takes a task is
+    moved to its new position.
     """
 
     def __init__(
-        self, need: TaskRequest, slots: Iterable[Candidate], rank: Callable[[TaskRequest, Candidate], tuple[Any, ...]]
+        self,
+        request: TaskRequest,
+        candidates: Iterable[Candidate],
+        sort_key: Callable[[TaskRequest, Candidate], tuple[Any, ...]],
     ) -> None:
-        self._need = need
-        self._rank = rank
-        # Ranks end in the machine's name, so no two are alike and slots are never compared.
-        self._order = sorted((rank(need, slot), slot) for slot in fitting_in(need, slots))
+        self._request = request
+        self._sort_key = sort_key
+        # Sort keys end in the machine's name, so they are unique and candidates are never compared.
+        self._order = sorted(
+            (sort_key(request, candidate), candidate) for candidate in filter_fitting(request, candidates)
+        )
 
     def __bool__(self) -> bool:
         return bool(self._order)
 
     def __iter__(self) -> Iterator[Candidate]:
-        return (slot for _, slot in self._order)
+        return (candidate for _, candidate in self._order)
 
-    def take(self, slot: Candidate, line: int) -> None:
-        """Set the need's room aside on a slot."""
-        index = next(index for index, entry in enumerate(self._order) if entry[1] is slot)
+    def allocate(self, candidate: Candidate, priority_line: int) -> None:
+        """Allocate the request on a candidate."""
+        index = next(index for index, entry in enumerate(self._order) if entry[1] is candidate)
         del self._order[index]
-        slot.take(self._need, line)
-        if slot.fits(self._need):
-            insort(self._order, (self._rank(self._need, slot), slot))
+        candidate.allocate(self._request, priority_line)
+        if candidate.fits(self._request):
+            insort(self._order, (self._sort_key(self._request, candidate), candidate))
 
-    def drop(self, unwanted: Callable[[Candidate], bool]) -> None:
-        self._order = [entry for entry in self._order if not unwanted(entry[1])]
+    def remove(self, is_unwanted: Callable[[Candidate], bool]) -> None:
+        """Remove the candidates for which ``is_unwanted`` holds."""
+        self._order = [entry for entry in self._order if not is_unwanted(entry[1])]
--- a/src/gladecroft/coordination/scheduling/placement_writer.py
+++ b/src/gladecroft/coordination/scheduling/placement_writer.py
@@ -1,4 +1,4 @@
-"""Works a placement into a transaction, conditional on what it rests on."""
+"""Writes placements into transactions, conditional on the records that they depend on."""
 
 from __future__ import annotations
 
@@ -13,31 +13,44 @@
 
 
 class PlacementWriter:
+    """Adds placements to transactions."""
+
     def __init__(self, context: ControllerContext, candidate_cache: CandidateCache) -> None:
         self.context = context
         self.cluster_state = context.cluster_state
         self.candidate_cache = candidate_cache
 
-    def put(
-        self, txn: TransactionBuilder, job: Job, number: int, before: TaskRecord, slot: Candidate, bump: bool = True
+    def write(
+        self,
+        txn: TransactionBuilder,
+        job: Job,
+        number: int,
+        previous: TaskRecord,
+        candidate: Candidate,
+        write_machine_record: bool = True,
     ) -> bool:
-        """Work a placement into the transaction; False if it has no room."""
-        key = rec.machine_key(slot.machine)
-        # Another part's room is taken only by a conditional write. A gang's also changes the machine's record; for
-        # single tasks a write for each machine would use up the state service's budget in a large fleet. Should two
-        # homes take the same room all the same, the worker refuses the second.
+        """Add a placement to the transaction; False if it does not fit into it.
+
+        Every placement is conditional on the machine's record. A gang's placement also writes the record of a machine
+        that this controller does not own, so that a concurrent one fails. For single tasks a write per machine would
+        exceed the request budget of the state service in a large fleet; if two home controllers use the same capacity,
+        the worker refuses the second task.
+        """
+        key = rec.machine_key(candidate.machine)
         gang = job.spec.kind is JobKind.GANG
-        foreign = bump and gang and not slot.mine and key not in txn.writes
-        if not txn.has_room((0 if txn.edits_chunk(job, number) else 1) + foreign, 1, 1):
+        updates_machine = write_machine_record and gang and not candidate.owned and key not in txn.writes
+        if not txn.has_room((0 if txn.edits_chunk(job, number) else 1) + updates_machine, 1, 1):
             return False
-        if not txn.task_fits(job, number, slot.machine):
-            return False  # with names this long not all of a chunk's tasks can be placed at once
+        if not txn.task_fits(job, number, candidate.machine):
+            return False  # with names this long, one record can't hold the placements of all tasks of the chunk
         txn.require(key)
-        if foreign:
-            txn.put(key, self.cluster_state.machines[slot.machine])
-        attempt = before.attempt + 1
+        if updates_machine:
+            txn.put(key, self.cluster_state.machines[candidate.machine])
+        attempt = previous.attempt + 1
         now_s = int(self.context.wall_time.timestamp())
-        txn.set_task(job, number, TaskRecord(TaskState.ACTIVE, attempt, slot.machine, before.failures, "", now_s))
-        txn.log_messages.append(f"{job.id}/{number}#{attempt} goes to {slot.machine}")
-        self.candidate_cache.note_image(slot.machine, job.spec.image)
+        txn.set_task(
+            job, number, TaskRecord(TaskState.ACTIVE, attempt, candidate.machine, previous.failures, "", now_s)
+        )
+        txn.log_messages.append(f"{job.id}/{number}#{attempt} goes to {candidate.machine}")
+        self.candidate_cache.record_image(candidate.machine, job.spec.image)
         return True
--- a/src/gladecroft/coordination/scheduling/scheduler.py
+++ b/src/gladecroft/coordination/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""Runs the two placers over the picture and works their choices into transactions."""
+"""Runs scheduling rounds: applies the two placers to all pending jobs and writes the placements into transactions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from gladecroft.coordination.scheduling.ordering import JobOrdering
 from gladecroft.coordination.scheduling.pending_queue import PendingQueue, SchedulingRound, SubQueue
 from gladecroft.coordination.scheduling.placement import (
-    TINY,
+    EPSILON,
     Candidate,
     HighPriorityPlacer,
     LowPriorityPlacer,
@@ -31,23 +31,31 @@
     TaskRequest,
 )
 from gladecroft.coordination.scheduling.placement_writer import PlacementWriter
-from gladecroft.coordination.scheduling.selection import MachineSelector, claim, need_of, one_zone, zone_room
+from gladecroft.coordination.scheduling.selection import (
+    MachineSelector,
+    reserve,
+    restrict_to_one_zone,
+    task_request,
+    zone_counts_and_cap,
+)
 from gladecroft.coordination.state_writer import StateWriter
 from gladecroft.protocol.wire import PRIORITY_RANK, JobKind, JobSpec, MachineType
 
 log = logging.getLogger(__name__)
 
-MOST_PER_ROUND = 400
-#: A controller that places nothing itself takes notice of changed jobs only when there are so many.
-MANY_MOVED = 1000
-NO_ROOM = "no machine has room"
+MAX_PLACEMENTS_PER_ROUND = 400
+#: A controller without tasks to place updates its queue only once this many jobs have changed.
+MAX_UNPROCESSED_CHANGES = 1000
+NO_CAPACITY = "no machine has room"
 NO_MACHINE = "no allowed machine is up"
-LIMIT = "the team's limit is used up"
-BACK_OFF_MOST = 64.0
-FAILING = "its tasks fail on every machine: one is tried now and then"
+TEAM_LIMIT_REACHED = "the team's limit is used up"
+MAX_BACKOFF_S = 64.0
+FAILING_EVERYWHERE = "its tasks fail on every machine: one is tried now and then"
 
 
 class Scheduler:
+    """Assigns pending tasks to machines, and evicts tasks where the placers decide so."""
+
     def __init__(
         self,
         context: ControllerContext,
@@ -61,281 +69,301 @@
         self.state_writer = state_writer
         self.priority_line = PRIORITY_RANK[context.operator_settings.priority_line]
         self.candidate_cache = CandidateCache(context, membership, machine_manager, state_writer, self.priority_line)
-        self.machine_allowed = self.candidate_cache.allowed
-        high = HighPriorityPlacer(context.operator_settings.offer_top, context.operator_settings.spot_avoiding)
-        self.chooser = MachineSelector(high, LowPriorityPlacer(), self.priority_line)
+        self.machine_allowed = self.candidate_cache.machine_allowed
+        high_priority = HighPriorityPlacer(context.operator_settings.offer_top, context.operator_settings.spot_avoiding)
+        self.selector = MachineSelector(high_priority, LowPriorityPlacer(), self.priority_line)
         self.ordering = JobOrdering(context)
-        #: All waiting work in the order in which it is planned.
+        #: All pending jobs in scheduling order.
         self.pending = PendingQueue(context.cluster_state, self.ordering, context.panel)
-        self.stops = Evictor(context, membership, self.candidate_cache, self.chooser)
+        self.evictor = Evictor(context, membership, self.candidate_cache, self.selector)
         self.writer = PlacementWriter(context, self.candidate_cache)
-        #: Why jobs wait that a round has gone through, and the round. Of the others their row tells.
-        self.waits: dict[str, tuple[int, str]] = {}
-        self._short = ""
-        #: What is agreed for this round, if anything is, and where that is known.
+        #: By job: the last round that visited it, and why it waits. For jobs not visited the subqueue's reason holds.
+        self.wait_reasons: dict[str, tuple[int, str]] = {}
+        #: Why the current job could not be placed whole, if that may hold for others of its subqueue; else empty.
+        self._unplaced_reason = ""
+        #: Tiers of teams and classes in this round, and the function that gives them; None if there are none.
         self._tiers: PriorityTiers | None = None
         self.current_tiers: Callable[[], PriorityTiers | None] | None = None
-        self.gangs = GangScheduler(
-            context, state_writer, self.candidate_cache, self.chooser, self.stops, self.writer, self.wait
+        self.gang_scheduler = GangScheduler(
+            context, state_writer, self.candidate_cache, self.selector, self.evictor, self.writer, self.set_wait_reason
         )
-        self._retry: dict[tuple[str, int, int], timedelta] = {}
-        #: Of jobs whose tasks fail on every machine: how many tries there were since that was seen, and when the next
-        #: is due.
-        self._tries: dict[str, tuple[int, timedelta]] = {}
-        self.shortage = InfeasibleCache(self.candidate_cache, self.priority_line)
-        #: Cores on machines with high-priority work that low-priority work may still take in this round.
-        self._spare = 0.0
-        state_writer.composers.append(self.stops.drain)
-        state_writer.composers.append(self.stops.mend_gangs)
+        #: By job, task and attempt: when a failed task may start again.
+        self._retry_times: dict[tuple[str, int, int], timedelta] = {}
+        #: By job whose tasks fail on every machine: trial starts since that was detected, and when the next is due.
+        self._probes: dict[str, tuple[int, timedelta]] = {}
+        self.infeasible = InfeasibleCache(self.candidate_cache, self.priority_line)
+        #: Cores on machines with high-priority tasks that low-priority tasks may still take in this round.
+        self._headroom_cpus = 0.0
+        state_writer.composers.append(self.evictor.drain)
+        state_writer.composers.append(self.evictor.stop_incomplete_gangs)
         state_writer.composers.append(self.place)
-        state_writer.composers.append(self.stops.move)
+        state_writer.composers.append(self.evictor.migrate_services)
 
     def infeasible_reason(self, spec: JobSpec) -> str | None | bool:
-        """None if some machine type takes a task; why not; False if the types are not known yet."""
+        """Return why no machine type holds a task of a job; None if one does, False if the types are not known yet."""
         if not self.types:
             return False
-        for kind in self.types.values():
-            if self.candidate_cache.type_allowed(spec, kind) and (spec.zone is None or spec.zone in kind.zones):
+        for machine_type in self.types.values():
+            if self.candidate_cache.type_allowed(spec, machine_type) and (
+                spec.zone is None or spec.zone in machine_type.zones
+            ):
                 return None
         return "a task fits no allowed machine type"
 
     @property
     def types(self) -> dict[str, MachineType]:
+        """The machine types that the cloud offers, by name."""
         return self.candidate_cache.types
 
     def zone_counts_and_cap(self, job: Job) -> tuple[dict[str, int], int]:
-        """How many of the job's tasks are in each zone, and how many may be."""
-        return zone_room(self.cluster_state, job)
+        """Return the number of the job's tasks in each zone, and the most that any zone may hold."""
+        return zone_counts_and_cap(self.cluster_state, job)
 
     def place(self, txn: TransactionBuilder) -> None:
-        """Place our waiting tasks.
+        """Run a scheduling round: place the pending tasks of the teams that this controller is home to.
 
-        The plan is made for all waiting work in one order, other homes' too, and only our part of it is carried
-        out: what others are about to take is left to them. Without this two homes took the same room, and room freed
-        by an eviction went to the next borrower, who was evicted again.
+        The plan covers the pending jobs of all home controllers in one order, but only this controller's placements
+        are written, so that capacity which others are about to use is left to them. Otherwise two home controllers
+        placed tasks on the same capacity, and capacity freed by an eviction went to another borrower that was evicted
+        in turn.
         """
         context = self.context
-        if len(self.waits) > 2 * len(self.cluster_state.queued_jobs) + 100:
-            for name in [name for name in self.waits if name not in self.cluster_state.queued_jobs]:
-                del self.waits[name]
+        if len(self.wait_reasons) > 2 * len(self.cluster_state.queued_jobs) + 100:
+            for job_id in [job_id for job_id in self.wait_reasons if job_id not in self.cluster_state.queued_jobs]:
+                del self.wait_reasons[job_id]
         self.state_writer.waiting_jobs = 0
-        if not self._any_of_ours():
-            if len(self.cluster_state.dirty_jobs) > MANY_MOVED:
-                self.pending.refresh(
-                    context.wall_time.timestamp()
-                )  # else the names of all jobs that ever were would be kept
+        if not self._has_tasks_to_place():
+            if len(self.cluster_state.dirty_jobs) > MAX_UNPROCESSED_CHANGES:
+                self.pending.refresh(context.wall_time.timestamp())  # else the ids of all past jobs would pile up
             return
         self.pending.refresh(context.wall_time.timestamp())
         self.state_writer.waiting_jobs = len(self.pending)
         self.candidate_cache.refresh(self.cluster_state.guaranteed_jobs())
-        self.shortage.clear()
-        self._spare = self.low_priority_headroom()
-        most = MOST_PER_ROUND
+        self.infeasible.clear()
+        self._headroom_cpus = self.low_priority_headroom()
+        max_tasks = MAX_PLACEMENTS_PER_ROUND
         self._tiers, round_ = self.start_round()
-        for job, row in round_:
+        for job, subqueue in round_:
             if self.is_held(job):
                 continue
-            few = self.start_limit(job, row)
-            if few == 0:
+            limit = self.start_limit(job, subqueue)
+            if limit == 0:
                 continue
             home = self.membership.job_home(job.spec) or ""
-            place = self.gangs.place if job.spec.kind is JobKind.GANG else self._place_job
-            self._short = ""
-            most_now = most if few is None else min(few, most)
-            taken = place(txn, job, row.uses_guarantee, home, most_now)
-            most -= taken
-            if few is not None:
-                self._took_few(job, taken, most_now)
+            place = self.gang_scheduler.place if job.spec.kind is JobKind.GANG else self._place_job
+            self._unplaced_reason = ""
+            max_now = max_tasks if limit is None else min(limit, max_tasks)
+            placed = place(txn, job, subqueue.uses_guarantee, home, max_now)
+            max_tasks -= placed
+            if limit is not None:
+                self._note_limited_start(job, placed, max_now)
             if self._tiers is not None:
-                self._tiers.add_planned(row.group, taken * job.spec.cpus)
-            # Once the transaction is full there is nothing more to carry out; the next round plans anew.
-            if most <= 0 or not txn.has_room(1, 0):
+                self._tiers.add_planned(subqueue.group, placed * job.spec.cpus)
+            # Once the transaction is full nothing more can be written; the next round plans again.
+            if max_tasks <= 0 or not txn.has_room(1, 0):
                 break
-            first = self._tiers is not None and self._tiers.tier_of(row.group, row.uses_guarantee) == BOOSTED
-            if self._short == NO_ROOM and (first or row.overdue):
-                self.shortage.set_aside(job, self.cluster_state.workload.smallest_task_cpus())
-            if self._short:
-                self._give_up(round_, row, job, txn)
+            boosted = (
+                self._tiers is not None and self._tiers.tier_of(subqueue.group, subqueue.uses_guarantee) == BOOSTED
+            )
+            if self._unplaced_reason == NO_CAPACITY and (boosted or subqueue.overdue):
+                self.infeasible.reserve_machine(job, self.cluster_state.workload.smallest_task_cpus())
+            if self._unplaced_reason:
+                self._close_if_infeasible(round_, subqueue, job, txn)
 
     def start_round(self) -> tuple[PriorityTiers | None, SchedulingRound]:
-        """A round through all that waits, in the order that is agreed; ``Lineup.refresh`` comes before it."""
+        """Begin a round over all pending jobs, ordered by the current tiers; the queue must have been refreshed."""
         tiers = None if self.current_tiers is None else self.current_tiers()
         if tiers is None:
-            return None, self.pending.round()
-        # Having more than its share is no reason why a job should not begin for minutes.
-        return tiers, self.pending.round(
-            lambda row: min(tiers.tier_of(row.group, row.uses_guarantee), NORMAL if row.overdue else DEFERRED)
+            return None, self.pending.start_round()
+        # A job may be delayed for exceeding its share, but not beyond the deadline for its start.
+        return tiers, self.pending.start_round(
+            lambda subqueue: min(
+                tiers.tier_of(subqueue.group, subqueue.uses_guarantee), NORMAL if subqueue.overdue else DEFERRED
+            )
         )
 
-    def _any_of_ours(self) -> bool:
-        """Whether any waiting task is ours to place."""
-        me = self.context.name
+    def _has_tasks_to_place(self) -> bool:
+        """Whether this controller has any pending task to place."""
+        own_name = self.context.name
         return any(
-            waits.queued_jobs and self.membership.home(team) == me
-            for team, waits in self.cluster_state.workload.teams.items()
+            demand.queued_jobs and self.membership.home(team) == own_name
+            for team, demand in self.cluster_state.workload.teams.items()
         )
 
-    def _give_up(self, round_: SchedulingRound, row: SubQueue, job: Job, txn: TransactionBuilder) -> None:
-        """A job could not be placed whole: close its row if that goes for the smallest in it too."""
-        why = self._short
-        if why == LIMIT:
-            whole = txn.remaining_team_tasks(round_.smallest(row)) <= 0
+    def _close_if_infeasible(
+        self, round_: SchedulingRound, subqueue: SubQueue, job: Job, txn: TransactionBuilder
+    ) -> None:
+        """After a job that could not be placed whole, close its subqueue if its smallest job can't be placed either."""
+        reason = self._unplaced_reason
+        if reason == TEAM_LIMIT_REACHED:
+            infeasible_for_all = txn.remaining_team_tasks(round_.smallest_job(subqueue)) <= 0
         else:
-            whole = why == NO_MACHINE or round_.mark_infeasible(row, job)
-        if whole:
-            round_.close(row, why)
+            infeasible_for_all = reason == NO_MACHINE or round_.mark_infeasible(subqueue, job)
+        if infeasible_for_all:
+            round_.close(subqueue, reason)
 
     def is_held(self, job: Job) -> bool:
-        """Whether a policy says that the job's tasks may not start yet."""
+        """Whether a policy delays the start of the job's tasks; if so, records the reason."""
         panel = self.context.panel
-        why = panel.hold(job) if panel is not None and panel.holds() else None
-        if why is not None and self.membership.job_home(job.spec) == self.context.name:
-            self.wait(job.id, why)
-        return why is not None
+        reason = panel.hold(job) if panel is not None and panel.holds() else None
+        if reason is not None and self.membership.job_home(job.spec) == self.context.name:
+            self.set_wait_reason(job.id, reason)
+        return reason is not None
 
-    def start_limit(self, job: Job, row: SubQueue) -> int | None:
-        """How many of a job's tasks may start now; None: as many as there is room for."""
-        few = self._failing(job)
-        if few is None and row.overdue and job.spec.kind is not JobKind.GANG:
-            few = self.ordering.to_begin(job)
-        return few
+    def start_limit(self, job: Job, subqueue: SubQueue) -> int | None:
+        """Return how many of a job's tasks may start now; None if only capacity limits them."""
+        limit = self._probe_limit(job)
+        if limit is None and subqueue.overdue and job.spec.kind is not JobKind.GANG:
+            limit = self.ordering.tasks_to_start(job)
+        return limit
 
-    def _failing(self, job: Job) -> int | None:
-        """How many of a job's tasks may start now if they fail on every machine; None: they don't.
+    def _probe_limit(self, job: Job) -> int | None:
+        """Return how many tasks of a job that fails on every machine may start now; None for other jobs.
 
-        Started again each by itself, the tasks of one array that was submitted with a mistake took hundreds of starts,
-        changes and fetches of images, and machines were rented for them.
+        If every task of a faulty array is retried by itself, that costs hundreds of starts, transactions and image
+        fetches, and machines are rented for it.
         """
         if not is_faulty_job(job):
-            self._tries.pop(job.id, None)
+            self._probes.pop(job.id, None)
             return None
-        few = allowed_extra_starts(job, self.context.wall_time.timestamp())
-        tries, due = self._tries.setdefault(job.id, (0, self.context.now + retry_backoff(0)))
-        if len(self._tries) > 2 * len(self.cluster_state.queued_jobs) + 100:
-            for name in [name for name in self._tries if name not in self.cluster_state.queued_jobs]:
-                del self._tries[name]
+        limit = allowed_extra_starts(job, self.context.wall_time.timestamp())
+        probes, due = self._probes.setdefault(job.id, (0, self.context.now + retry_backoff(0)))
+        if len(self._probes) > 2 * len(self.cluster_state.queued_jobs) + 100:
+            for job_id in [job_id for job_id in self._probes if job_id not in self.cluster_state.queued_jobs]:
+                del self._probes[job_id]
         if not job.placed_count and self.context.now < due:
-            few = 0
-        return few
+            limit = 0
+        return limit
 
-    def _took_few(self, job: Job, taken: int, few: int) -> None:
-        """A job of which only a few tasks may start has been looked at."""
-        if job.id in self._tries:
-            if taken:
-                tries = self._tries[job.id][0] + 1
-                self._tries[job.id] = (tries, self.context.now + retry_backoff(tries))
-            # Its tasks do not wait for room, so its row is not closed for others.
-            self._short = ""
-        if taken >= few:
-            self.wait(job.id, "")
+    def _note_limited_start(self, job: Job, placed: int, limit: int) -> None:
+        """Update the state of a job that has a start limit, after the round has visited it."""
+        if job.id in self._probes:
+            if placed:
+                probes = self._probes[job.id][0] + 1
+                self._probes[job.id] = (probes, self.context.now + retry_backoff(probes))
+            # Its tasks do not wait for capacity, so the subqueue stays open for other jobs.
+            self._unplaced_reason = ""
+        if placed >= limit:
+            self.set_wait_reason(job.id, "")
 
-    def wait(self, job: str, why: str) -> None:
-        """Note why a job waits; empty: it does no more."""
-        if why:
-            self.waits[job] = (self.pending.rounds, why)
+    def set_wait_reason(self, job: str, reason: str) -> None:
+        """Record why a job waits; an empty reason says that it no longer does."""
+        if reason:
+            self.wait_reasons[job] = (self.pending.rounds, reason)
         else:
-            self.waits.pop(job, None)
+            self.wait_reasons.pop(job, None)
 
     def low_priority_headroom(self) -> float:
-        """What is free on machines with high-priority work, less a reserve for more of that.
+        """Return the free cores on machines with high-priority tasks, less a reserve for further such tasks.
 
-        Low-priority work that filled these machines was evicted again by the next services, and began anew.
+        Without the reserve, low-priority tasks filled these machines, were evicted for the next services and had to
+        start over.
         """
-        free = held = 0.0
-        for slot in self.candidate_cache.candidates.values():
-            if slot.high_priority_cpus > TINY:
-                free += max(0.0, slot.free_cpus)
-                held += slot.high_priority_cpus
-        return free - self.context.operator_settings.machine_reserve * held
+        free_cpus = high_priority_cpus = 0.0
+        for candidate in self.candidate_cache.candidates.values():
+            if candidate.high_priority_cpus > EPSILON:
+                free_cpus += max(0.0, candidate.free_cpus)
+                high_priority_cpus += candidate.high_priority_cpus
+        return free_cpus - self.context.operator_settings.machine_reserve * high_priority_cpus
 
-    def _place_job(self, txn: TransactionBuilder, job: Job, inside: bool, home: str, most: int) -> int:
-        """Place one job's waiting tasks as far as they go, or only set the room aside if it is another home's job."""
+    def _place_job(self, txn: TransactionBuilder, job: Job, guaranteed: bool, home: str, max_tasks: int) -> int:
+        """Place as many of a job's pending tasks as fit; for another home controller's job only reserve the capacity.
+
+        Returns how many tasks were placed or had capacity reserved for them.
+        """
         spec = job.spec
         claimed = self.state_writer.holds_claim(spec.team)
-        ours = home == self.context.name and claimed
-        room = min(txn.remaining_team_tasks(job), most)
-        why = ""
-        zones, cap = zone_room(self.cluster_state, job) if spec.spread or spec.one_zone else ({}, spec.tasks)
+        may_write = home == self.context.name and claimed
+        max_placements = min(txn.remaining_team_tasks(job), max_tasks)
+        reason = ""
+        zones, cap = zone_counts_and_cap(self.cluster_state, job) if spec.spread or spec.one_zone else ({}, spec.tasks)
         if spec.one_zone and cap < spec.tasks:
-            room, why = 0, "some of its machines are not known yet"
+            max_placements, reason = 0, "some of its machines are not known yet"
         tiers = self._tiers
         group = (spec.team, spec.job_class)
-        tier = NORMAL if tiers is None else tiers.tier_of(group, inside)
-        spared = () if tiers is None else tiers.protected_groups(group, inside, tier)
-        need = need_of(job, inside, home, tier == DEFERRED, spared)
-        high = need.rank <= self.candidate_cache.line
-        kept_out = not high and not inside and self._spare < need.cpus
-        taken = evicted = 0
-        closed = [zone for zone, count in zones.items() if count >= cap] if spec.spread else []
-        where: tuple[object, ...] = (
+        tier = NORMAL if tiers is None else tiers.tier_of(group, guaranteed)
+        protected = () if tiers is None else tiers.protected_groups(group, guaranteed, tier)
+        request = task_request(job, guaranteed, home, tier == DEFERRED, protected)
+        high_priority = request.rank <= self.candidate_cache.priority_line
+        excluded = not high_priority and not guaranteed and self._headroom_cpus < request.cpus
+        placed = evicted = 0
+        full_zones = [zone for zone, count in zones.items() if count >= cap] if spec.spread else []
+        constraints: tuple[object, ...] = (
             tuple(spec.types) if spec.types is not None else None,
             spec.zone,
             spec.spot,
-            # Zones that are full for this job are not looked at.
-            tuple(sorted(closed)),
-            high or inside,
+            tuple(sorted(full_zones)),
+            high_priority or guaranteed,
         )
         if self.context.panel is not None and self.context.panel.by_job():
-            where = (*where, job.id)  # what is no room for one job may be room for another
-        push = (*where, need.rank, need.guaranteed, need.team, tier)
+            constraints = (*constraints, job.id)  # policies may allow one job a machine that they refuse to another
+        preemption_key = (*constraints, request.rank, request.guaranteed, request.team, tier)
         ranking: Ranking | None = None
         usable: list[Candidate] = []
-        # Where nothing is free only what comes up or may be pushed away is looked at.
-        nothing_free = room > 0 and not spec.one_zone and self.shortage.of(where, need)
+        # If no free capacity is left for such requests, only machines with releasing or borrowed capacity can serve.
+        nothing_free = max_placements > 0 and not spec.one_zone and self.infeasible.is_infeasible(constraints, request)
         if nothing_free:
-            usable = self.shortage.to_push(where, push, job, need, closed)
-            ranking = Ranking(need, (), self.chooser.high.sort_key if high else self.chooser.low.sort_key)
+            usable = self.infeasible.preemption_candidates(constraints, preemption_key, job, request, full_zones)
+            ranking = Ranking(
+                request,
+                (),
+                self.selector.high_priority.sort_key if high_priority else self.selector.low_priority.sort_key,
+            )
         if nothing_free and not usable:
-            room = 0
-            why = self._short = NO_ROOM
-            self.shortage.tell_why(where, job)
+            max_placements = 0
+            reason = self._unplaced_reason = NO_CAPACITY
+            self.infeasible.copy_refusal(constraints, job)
         for number in job.queued_numbers():
-            if taken >= room:
-                if not why and room < most:
-                    self._short = LIMIT
-                why = why or LIMIT
+            if placed >= max_placements:
+                if not reason and max_placements < max_tasks:
+                    self._unplaced_reason = TEAM_LIMIT_REACHED
+                reason = reason or TEAM_LIMIT_REACHED
                 break
-            before = txn.task(job, number)
-            if before.state is not TaskState.QUEUED or not self._due(job.id, number, before):
+            previous = txn.task(job, number)
+            if previous.state is not TaskState.QUEUED or not self._retry_due(job.id, number, previous):
                 continue
             if ranking is None:
-                # Tasks on machines that are not known may take up all that any zone may have: then it is closed though
-                # none of the job's tasks is known to be there.
-                usable = self.candidate_cache.usable(job, closed) if cap > 0 else []
+                # Tasks on unknown machines may use up the cap of every zone; then no zone is open, not even one that
+                # holds no known task of the job.
+                usable = self.candidate_cache.usable(job, full_zones) if cap > 0 else []
                 if spec.one_zone:
-                    usable = one_zone(usable, zones)
-                if kept_out:
-                    usable = [slot for slot in usable if slot.high_priority_cpus <= TINY]
-                ranking = Ranking(need, usable, self.chooser.high.sort_key if high else self.chooser.low.sort_key)
-            offer = self.chooser.choose(need, ranking, usable, before)
+                    usable = restrict_to_one_zone(usable, zones)
+                if excluded:
+                    usable = [candidate for candidate in usable if candidate.high_priority_cpus <= EPSILON]
+                ranking = Ranking(
+                    request,
+                    usable,
+                    self.selector.high_priority.sort_key if high_priority else self.selector.low_priority.sort_key,
+                )
+            offer = self.selector.select(request, ranking, usable, previous)
             if offer is None:
-                if usable and not spec.one_zone and not (spec.spread and taken):
-                    self.shortage.note(where, need)
-                    self.shortage.note(push, need)
-                    self.shortage.note_why(where, job)
-                why = NO_ROOM if usable else NO_MACHINE
+                if usable and not spec.one_zone and not (spec.spread and placed):
+                    self.infeasible.mark_infeasible(constraints, request)
+                    self.infeasible.mark_infeasible(preemption_key, request)
+                    self.infeasible.record_refusal(constraints, job)
+                reason = NO_CAPACITY if usable else NO_MACHINE
                 if not spec.spread or not zones:
-                    self._short = why
+                    self._unplaced_reason = reason
                 break
-            slot = offer.slot
-            taken += 1
-            self.candidate_cache.plan_on(slot)
+            candidate = offer.candidate
+            placed += 1
+            self.candidate_cache.mark_planned(candidate)
             if offer.victims:
-                evicted += self._evict(txn, job, need, offer, ours)
-                why = "waiting for evicted work to stop"
-            elif not slot.fits(need):
-                why = "waiting for evicted work to stop"
-                claim(slot, need)
+                evicted += self._evict(txn, job, request, offer, may_write)
+                reason = "waiting for evicted work to stop"
+            elif not candidate.fits(request):
+                reason = "waiting for evicted work to stop"
+                reserve(candidate, request)
             else:
-                if ours and not self.writer.put(txn, job, number, before, slot):
-                    ours, why = False, "about to be placed"
-                ranking.take(slot, self.candidate_cache.line)
-                if not high and not inside and slot.high_priority_cpus > TINY:
-                    self._spare -= need.cpus
-                    if self._spare < need.cpus:
-                        usable = [slot for slot in usable if slot.high_priority_cpus <= TINY]
-                        ranking.drop(lambda slot: slot.high_priority_cpus > TINY)
-                slot.add(
+                if may_write and not self.writer.write(txn, job, number, previous, candidate):
+                    may_write, reason = False, "about to be placed"
+                ranking.allocate(candidate, self.candidate_cache.priority_line)
+                if not high_priority and not guaranteed and candidate.high_priority_cpus > EPSILON:
+                    self._headroom_cpus -= request.cpus
+                    if self._headroom_cpus < request.cpus:
+                        usable = [candidate for candidate in usable if candidate.high_priority_cpus <= EPSILON]
+                        ranking.remove(lambda candidate: candidate.high_priority_cpus > EPSILON)
+                candidate.add_task(
                     PlacedTask(
                         job.id,
                         number,
@@ -344,65 +372,67 @@
                         spec.memory_gb,
                         job.priority_rank,
                         spec.team,
-                        inside,
+                        guaranteed,
                         1 << 40,
                     )
                 )
             if spec.spread:
-                zones[slot.zone] = zones.get(slot.zone, 0) + 1
-                if zones[slot.zone] >= cap:
-                    full = slot.zone
-                    usable = [slot for slot in usable if slot.zone != full]
-                    ranking.drop(lambda slot, full=full: slot.zone == full)  # type: ignore[misc]
+                zones[candidate.zone] = zones.get(candidate.zone, 0) + 1
+                if zones[candidate.zone] >= cap:
+                    full_zone = candidate.zone
+                    usable = [candidate for candidate in usable if candidate.zone != full_zone]
+                    ranking.remove(lambda candidate, full_zone=full_zone: candidate.zone == full_zone)  # type: ignore[misc]
         if home == self.context.name:
             if not claimed:
-                why = why or "about to be placed"
-            if why:
+                reason = reason or "about to be placed"
+            if reason:
                 refusal = self.candidate_cache.refusals.get(job.id)
-                why = why if refusal is None else f"{why}; {refusal}"
-            self.wait(job.id, why)
+                reason = reason if refusal is None else f"{reason}; {refusal}"
+            self.set_wait_reason(job.id, reason)
             if evicted:
-                # Recorded once per job and round.
                 log.info("%s evicts %d tasks", job.id, evicted)
-        return taken
+        return placed
 
-    def _evict(self, txn: TransactionBuilder, job: Job, need: TaskRequest, offer: Offer, ours: bool) -> int:
+    def _evict(self, txn: TransactionBuilder, job: Job, request: TaskRequest, offer: Offer, may_write: bool) -> int:
+        """Stop an offer's victims, or only plan it if another home controller will; return how many."""
         count = 0
-        slot = offer.slot
+        candidate = offer.candidate
         for victim in offer.victims:
             other = self.cluster_state.jobs.get(victim.job)
             if (
-                not ours
+                not may_write
                 or other is not None
-                and self.stops.stop_with_gang(txn, other, victim.number, f"evicted for {job.id}")
+                and self.evictor.stop_task_or_gang(txn, other, victim.number, f"evicted for {job.id}")
             ):
-                slot.free_up(victim)
+                candidate.mark_stopping(victim)
                 count += 1
-        claim(slot, need)
+        reserve(candidate, request)
         return count
 
-    def _due(self, job: str, number: int, task: TaskRecord) -> bool:
-        """Tasks that have failed wait longer each time."""
+    def _retry_due(self, job: str, number: int, task: TaskRecord) -> bool:
+        """Whether a task may start now; after failures it waits with exponential backoff."""
         if not task.failures:
             return True
         key = (job, number, task.attempt)
-        due = self._retry.get(key)
+        due = self._retry_times.get(key)
         if due is None:
-            if len(self._retry) > 20_000:
-                self._retry.clear()
-            wait = timedelta(seconds=min(BACK_OFF_MOST, 2.0 ** (task.failures - 1)))
-            due = self._retry[key] = self.context.now + wait
+            if len(self._retry_times) > 20_000:
+                self._retry_times.clear()
+            wait = timedelta(seconds=min(MAX_BACKOFF_S, 2.0 ** (task.failures - 1)))
+            due = self._retry_times[key] = self.context.now + wait
         return self.context.now >= due
 
     def wait_reason(self, job: Job) -> str:
-        """Why a job waits, or why some of its tasks last stopped."""
+        """Return why a job waits, followed by why some of its tasks last stopped; empty if it does not wait."""
         parts = []
         if job.queued_count:
             panel = self.context.panel
-            held = panel.hold(job) if panel is not None and panel.holds() else None
-            # What is known of the row is newer than what is known of a job that the last rounds have not come to.
-            _, why = max(self.waits.get(job.id, (-1, "")), self.pending.why(job), key=lambda known: known[0])
-            failing = FAILING if is_faulty_job(job) else ""
-            parts.append(held or failing or why or "waiting to be placed")
+            hold = panel.hold(job) if panel is not None and panel.holds() else None
+            # The subqueue's reason is newer for a job that the last rounds have skipped.
+            _, reason = max(
+                self.wait_reasons.get(job.id, (-1, "")), self.pending.last_close(job), key=lambda known: known[0]
+            )
+            failing = FAILING_EVERYWHERE if is_faulty_job(job) else ""
+            parts.append(hold or failing or reason or "waiting to be placed")
             parts += job.queued_notes()
         return "; ".join(parts)
--- a/src/gladecroft/coordination/scheduling/selection.py
+++ b/src/gladecroft/coordination/scheduling/selection.py
@@ -1,4 +1,4 @@
-"""The choice of a machine for one task: by zones, then by what the two placers make of the slots."""
+"""Selects the machine for one task: applies the zone constraints, then asks the two placers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import TaskRecord
 from gladecroft.coordination.scheduling.placement import (
-    TINY,
+    EPSILON,
     Candidate,
     HighPriorityPlacer,
     LowPriorityPlacer,
@@ -17,103 +17,126 @@
     TaskRequest,
 )
 
-#: Stands for the zone of a machine that is not known.
-UNKNOWN = "?"
+#: Zone of a task whose machine is not in the cluster state.
+UNKNOWN_ZONE = "?"
 
 
-def need_of(
-    job: Job, inside: bool, home: str, gentle: bool = False, spared: Container[tuple[str, str]] = ()
+def task_request(
+    job: Job, guaranteed: bool, home: str, non_preempting: bool = False, protected: Container[tuple[str, str]] = ()
 ) -> TaskRequest:
+    """Return the request for one task of a job."""
     spec = job.spec
     return TaskRequest(
-        spec.cpus, spec.gpus, spec.memory_gb, spec.image, job.priority_rank, spec.team, inside, home, gentle, spared
+        spec.cpus,
+        spec.gpus,
+        spec.memory_gb,
+        spec.image,
+        job.priority_rank,
+        spec.team,
+        guaranteed,
+        home,
+        non_preempting,
+        protected,
     )
 
 
-def zone_room(cluster_state: ClusterState, job: Job) -> tuple[dict[str, int], int]:
-    """How many of the job's tasks are in each zone, and how many may be.
+def zone_counts_and_cap(cluster_state: ClusterState, job: Job) -> tuple[dict[str, int], int]:
+    """Return the number of the job's tasks in each zone, and the most that any zone may hold.
 
-    A task on a machine that this controller does not know (any more, or yet) may be in any zone. Counted in none,
-    it let more than half of a service into one zone after all controllers had been started again.
+    A task on a machine that is not in the cluster state may be in any zone, so it lowers the cap of every zone. When
+    such tasks were not counted, more than half of a service could land in one zone after a restart of all controllers.
     """
-    zones = zones_used(cluster_state, job)
-    return zones, job.spec.max_tasks_per_zone() - zones.pop(UNKNOWN, 0)
+    zones = tasks_per_zone(cluster_state, job)
+    return zones, job.spec.max_tasks_per_zone() - zones.pop(UNKNOWN_ZONE, 0)
 
 
-def zones_used(cluster_state: ClusterState, job: Job) -> dict[str, int]:
+def tasks_per_zone(cluster_state: ClusterState, job: Job) -> dict[str, int]:
+    """Count the job's placed tasks by zone; those on unknown machines count under ``UNKNOWN_ZONE``."""
     zones: dict[str, int] = {}
     for _, task in job.placed_tasks():
         machine = cluster_state.machines.get(task.machine)
         if task.machine:
-            zone = machine.zone if machine is not None else UNKNOWN
+            zone = machine.zone if machine is not None else UNKNOWN_ZONE
             zones[zone] = zones.get(zone, 0) + 1
     return zones
 
 
-def one_zone(slots: list[Candidate], zones: dict[str, int]) -> list[Candidate]:
-    """All tasks go to one zone: where some are already, else where most fit."""
+def restrict_to_one_zone(candidates: list[Candidate], zones: dict[str, int]) -> list[Candidate]:
+    """Keep the candidates of one zone: the one that holds tasks of the job, else the one with the most free cores."""
     if zones:
         zone = next(iter(zones))
-        return [slot for slot in slots if slot.zone == zone]
-    room: dict[str, float] = {}
-    for slot in slots:
-        room[slot.zone] = room.get(slot.zone, 0.0) + max(0.0, slot.free_cpus)
-    if not room:
+        return [candidate for candidate in candidates if candidate.zone == zone]
+    free_cpus: dict[str, float] = {}
+    for candidate in candidates:
+        free_cpus[candidate.zone] = free_cpus.get(candidate.zone, 0.0) + max(0.0, candidate.free_cpus)
+    if not free_cpus:
         return []
-    best = max(sorted(room), key=lambda zone: room[zone])
-    return [slot for slot in slots if slot.zone == best]
+    best = max(sorted(free_cpus), key=lambda zone: free_cpus[zone])
+    return [candidate for candidate in candidates if candidate.zone == best]
 
 
-def claim(slot: Candidate, need: TaskRequest) -> None:
-    """Set room that is being freed aside, so that it is not counted on twice in this round."""
-    slot.coming_cpus -= max(0.0, need.cpus - max(0.0, slot.free_cpus))
-    slot.coming_gpus -= max(0.0, need.gpus - max(0.0, slot.free_gpus))
-    slot.coming_memory -= max(0.0, need.memory_gb - max(0.0, slot.free_memory))
-    slot.free_cpus = max(0.0, slot.free_cpus - need.cpus)
-    slot.free_gpus = max(0.0, slot.free_gpus - need.gpus)
-    slot.free_memory = max(0.0, slot.free_memory - need.memory_gb)
+def reserve(candidate: Candidate, request: TaskRequest) -> None:
+    """Deduct a request from free and releasing capacity, so that it is not planned on twice in this round."""
+    candidate.releasing_cpus -= max(0.0, request.cpus - max(0.0, candidate.free_cpus))
+    candidate.releasing_gpus -= max(0.0, request.gpus - max(0.0, candidate.free_gpus))
+    candidate.releasing_memory_gb -= max(0.0, request.memory_gb - max(0.0, candidate.free_memory_gb))
+    candidate.free_cpus = max(0.0, candidate.free_cpus - request.cpus)
+    candidate.free_gpus = max(0.0, candidate.free_gpus - request.gpus)
+    candidate.free_memory_gb = max(0.0, candidate.free_memory_gb - request.memory_gb)
 
 
 class MachineSelector:
-    """The two placers, and how they come to one offer. ``line``: the lowest priority of the high side."""
+    """Combines the two placers into one decision.
 
-    def __init__(self, high: HighPriorityPlacer, low: LowPriorityPlacer, line: int) -> None:
-        self.high = high
-        self.low = low
-        self._line = line
+    ``priority_line`` is the largest priority rank (the lowest priority) that the high-priority placer handles.
+    """
+
+    def __init__(self, high_priority: HighPriorityPlacer, low_priority: LowPriorityPlacer, priority_line: int) -> None:
+        self.high_priority = high_priority
+        self.low_priority = low_priority
+        self._priority_line = priority_line
 
-    def choose(
-        self, need: TaskRequest, ranking: Ranking, usable: list[Candidate], before: TaskRecord | None = None
+    def select(
+        self, request: TaskRequest, ranking: Ranking, usable: list[Candidate], previous: TaskRecord | None = None
     ) -> Offer | None:
-        """The two placers' choice for one task: where it fits, else where room comes up or can be made."""
-        shunned = before.note if before is not None and before.failures else ""
-        if need.rank <= self._line:
-            fitting = self._top(ranking, shunned)
-            if fitting and self.high.avoid_evictions:
-                return self.low.choose(need, [Offer(slot, []) for slot in fitting])
+        """Choose a machine for one task.
+
+        A machine where it fits now is preferred, then one where it fits once stopping tasks have ended, then one where
+        tasks can be evicted for it.
+        """
+        failed_on = previous.note if previous is not None and previous.failures else ""
+        if request.rank <= self._priority_line:
+            fitting = self._top_ranked(ranking, failed_on)
+            if fitting and self.high_priority.avoid_evictions:
+                return self.low_priority.choose_offer(request, [Offer(candidate, []) for candidate in fitting])
             if not fitting:
-                for slot in usable:
-                    if slot.coming_cpus > 0 and slot.will_fit(need):
-                        return Offer(slot, [])
-            enough = [
-                slot for slot in usable if need.cpus <= slot.free_cpus + slot.coming_cpus + slot.borrowed_cpus + TINY
+                for candidate in usable:
+                    if candidate.releasing_cpus > 0 and candidate.fits_after_release(request):
+                        return Offer(candidate, [])
+            large_enough = [
+                candidate
+                for candidate in usable
+                if request.cpus <= candidate.free_cpus + candidate.releasing_cpus + candidate.borrowed_cpus + EPSILON
             ]
-            return self.low.choose(need, self.high.offers(need, enough))
-        best = self._top(ranking, shunned)
+            return self.low_priority.choose_offer(request, self.high_priority.rank_offers(request, large_enough))
+        best = self._top_ranked(ranking, failed_on)
         if best:
             return Offer(best[0], [])
-        if need.guaranteed:
-            for slot in usable:
-                if slot.coming_cpus > 0 and slot.will_fit(need):
-                    return Offer(slot, [])
-        return self.low.push(need, usable)
-
-    def _top(self, ranking: Ranking, shunned: str) -> list[Candidate]:
-        """The first N of a ranking; a machine on which the task has just failed only if there is no other."""
+        if request.guaranteed:
+            for candidate in usable:
+                if candidate.releasing_cpus > 0 and candidate.fits_after_release(request):
+                    return Offer(candidate, [])
+        return self.low_priority.preempt(request, usable)
+
+    def _top_ranked(self, ranking: Ranking, failed_on: str) -> list[Candidate]:
+        """Return the first N of a ranking, without the machine on which the task last failed unless it is the only one.
+
+        ``failed_on`` is the task's note, which ends in the name of that machine.
+        """
         top: list[Candidate] = []
-        for slot in ranking:
-            if not shunned or not shunned.endswith(slot.machine):
-                top.append(slot)
-                if len(top) >= self.high.top:
+        for candidate in ranking:
+            if not failed_on or not failed_on.endswith(candidate.machine):
+                top.append(candidate)
+                if len(top) >= self.high_priority.max_offers:
                     break
         return top or list(ranking)[:1]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,6 +1,6 @@
-"""What a round, a report or a change costs does not grow with the fleet where it need not.
+"""The cost of rounds, reports and changes does not grow with the fleet beyond what is necessary.
 
-Nothing here looks at a clock: what is counted repeats exactly.
+Costs are counted, not timed, so that the results are reproducible.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from gladecroft.protocol.settings import Objective
 from test_epochs import clock_at
 from test_fencing import SPEC, CoreHarness
-from test_placement import LINE, make_candidate, make_request
+from test_placement import PRIORITY_LINE, make_candidate, make_request
 
 FLEET = """
 set machine.consolidate=false
@@ -32,13 +32,15 @@
 """
 
 
-def looked_at(machines: int) -> int:
-    """How many machines the placers look at again to place one more task in a settled fleet."""
+def recomputed_for_one_task(machines: int) -> int:
+    """Return how many candidates are recomputed to place one more task in a fleet at rest."""
     scenario = Scenario(FLEET.format(machines=machines), 1).run()
 
-    def looked() -> int:
+    def recomputed() -> int:
         return sum(
-            controller.core.scheduler.candidate_cache.looked for controller in scenario.controllers if controller.core
+            controller.core.scheduler.candidate_cache.recomputed_count
+            for controller in scenario.controllers
+            if controller.core
         )
 
     def place(job: str, at: float) -> None:
@@ -46,28 +48,28 @@
         scenario.world.run_until(seconds(at + 3))
         assert [start for start in scenario.oracle.starts if start[1][0] == job]
 
-    place("wk-1", 41)  # what the fleet's own start has changed is looked at now
-    before = looked()
+    place("wk-1", 41)  # recomputes what the start of the fleet has changed
+    before = recomputed()
     place("wk-2", 45)
     assert scenario.oracle.broken == []
-    return looked() - before
+    return recomputed() - before
 
 
-def test_placing_a_task_looks_at_the_machines_that_changed_only() -> None:
-    assert looked_at(40) <= looked_at(10) + 6
+def test_placing_a_task_recomputes_only_machines_that_changed() -> None:
+    assert recomputed_for_one_task(40) <= recomputed_for_one_task(10) + 6
 
 
-def test_a_jobs_machines_are_ranked_once_and_kept_in_order() -> None:
-    slots = [make_candidate("m-1"), make_candidate("m-2"), make_candidate("m-3")]
-    wanted = make_request(8)
-    ranking = Ranking(wanted, slots, HighPriorityPlacer.sort_key)
-    taken = []
+def test_a_ranking_stays_sorted_as_its_machines_are_allocated() -> None:
+    candidates = [make_candidate("m-1"), make_candidate("m-2"), make_candidate("m-3")]
+    request = make_request(8)
+    ranking = Ranking(request, candidates, HighPriorityPlacer.sort_key)
+    allocated = []
     while ranking:
         best = next(iter(ranking))
-        taken.append(best.machine)
-        ranking.take(best, LINE)
-    # The busiest comes first, so a machine is filled before the next is begun.
-    assert taken == ["m-1", "m-1", "m-2", "m-2", "m-3", "m-3"]
+        allocated.append(best.machine)
+        ranking.allocate(best, PRIORITY_LINE)
+    # The busiest machine comes first, so a machine is filled before the next one is used.
+    assert allocated == ["m-1", "m-1", "m-2", "m-2", "m-3", "m-3"]
     low = Ranking(
         make_request(4, rank=2, image="x"),
         [make_candidate("m-4"), make_candidate("m-5", images=("x",))],
@@ -76,57 +78,57 @@
     assert [each.machine for each in low] == ["m-5", "m-4"]
 
 
-def rig_with_a_foreign_home() -> CoreHarness:
-    rig = CoreHarness()
-    rig.core.membership.assignment.team_homes["t"] = "n1"
-    rig.place_task(TaskState.ACTIVE)
-    rig.tasks["wk-1/0"] = {"portion": "wk-1/0", "try": 1, "status": "exited", "cause": "done"}
-    return rig
+def harness_with_another_home() -> CoreHarness:
+    harness = CoreHarness()
+    harness.core.membership.assignment.team_homes["t"] = "n1"
+    harness.place_task(TaskState.ACTIVE)
+    harness.tasks["wk-1/0"] = {"portion": "wk-1/0", "try": 1, "status": "exited", "cause": "done"}
+    return harness
 
 
-def calls(rig: CoreHarness, at: float) -> list[OutgoingCall]:
-    return [effect for effect in rig.core.step(clock_at(at), []) if isinstance(effect, OutgoingCall)]
+def calls(harness: CoreHarness, at: float) -> list[OutgoingCall]:
+    return [effect for effect in harness.core.step(clock_at(at), []) if isinstance(effect, OutgoingCall)]
 
 
-def test_an_owner_tells_the_home_of_an_end_and_mails_it_only_in_vain() -> None:
-    rig = rig_with_a_foreign_home()
-    rig.core.membership._last_renewal_at = clock_at(100_000).monotonic  # no renewals between the calls looked at
-    rig.core.context.state_served_at = clock_at(150).monotonic
-    rig.token = 1 << 24  # the machine has heard this owner
-    first = rig.core.step(clock_at(200), [IncomingRequest(1, RequestKind.REPORT, rig.report())])
-    told = [effect for effect in first if isinstance(effect, OutgoingCall) and effect.target is Target.PEER]
-    assert len(told) == 1
-    message: peers.EndedAttempts = wire.decode(peers.EndedAttempts, told[0].body or b"")
+def test_an_owner_reports_an_exit_to_the_home_and_uses_the_outbox_only_without_acknowledgement() -> None:
+    harness = harness_with_another_home()
+    harness.core.membership._last_renewal_at = clock_at(100_000).monotonic  # no renewals among the calls under test
+    harness.core.context.state_served_at = clock_at(150).monotonic
+    harness.token = 1 << 24  # the machine has acknowledged this owner's token
+    first = harness.core.step(clock_at(200), [IncomingRequest(1, RequestKind.REPORT, harness.report())])
+    reported = [effect for effect in first if isinstance(effect, OutgoingCall) and effect.target is Target.PEER]
+    assert len(reported) == 1
+    message: peers.EndedAttempts = wire.decode(peers.EndedAttempts, reported[0].body or b"")
     assert message == peers.EndedAttempts(1, [peers.EndedAttempt("wk-1", 0, 1, True)])
     early = [
         call
-        for call in [*first, *calls(rig, 200.5)]
+        for call in [*first, *calls(harness, 200.5)]
         if isinstance(call, OutgoingCall) and call.path == wire.COMMIT_PATH
     ]
     assert not [call for call in early if b"g/p/wk-1" in (call.body or b"")]
-    late = [call for call in calls(rig, 203) if call.path == wire.COMMIT_PATH]
+    late = [call for call in calls(harness, 203) if call.path == wire.COMMIT_PATH]
     assert not [call for call in late if b"g/p/wk-1" in (call.body or b"")]
-    mail = [call for call in late if b"g/x/n0" in (call.body or b"")]
-    assert len(mail) == 1 and b'["wk-1",0,1,true' in (mail[0].body or b"")
+    outbox = [call for call in late if b"g/x/n0" in (call.body or b"")]
+    assert len(outbox) == 1 and b'["wk-1",0,1,true' in (outbox[0].body or b"")
 
 
-def tell(rig: CoreHarness, epoch: int) -> None:
+def report_exit(harness: CoreHarness, epoch: int) -> None:
     body = wire.encode(peers.EndedAttempts(epoch, [peers.EndedAttempt("wk-1", 0, 1, True)]))
-    rig.core.step(clock_at(200), [IncomingRequest(5, RequestKind.ATTEMPTS_ENDED, body)])
+    harness.core.step(clock_at(200), [IncomingRequest(5, RequestKind.ATTEMPTS_ENDED, body)])
 
 
-def test_a_proof_counts_under_its_epoch_only() -> None:
-    for epoch, taken in ((1, True), (2, False), (0, False)):
-        rig = CoreHarness()
-        rig.core.membership.assignment.team_homes["t"] = "n0"
-        rig.put_record("g/p/wk-1/0", rec.ChunkRecord([TaskRecord(TaskState.ACTIVE, 1, "m-9")]))
-        rig.put_record("g/m/m-9", rec.MachineRecord("g", "a", False, "10.1.0.9:9000"))
-        tell(rig, epoch)
-        assert bool(rig.core.state_writer.exits) is taken
-        # A new epoch may have given the machine, and so the attempt, to somebody else.
-        rig.put_record(rec.EPOCH, rec.EpochRecord(2, "n1", {"n0": 7, "n1": 8}, {"m-9": "n1"}))
-        rig.core.step(clock_at(201), [])
-        assert not rig.core.state_writer.exits
+def test_a_reported_exit_counts_only_in_its_epoch() -> None:
+    for epoch, accepted in ((1, True), (2, False), (0, False)):
+        harness = CoreHarness()
+        harness.core.membership.assignment.team_homes["t"] = "n0"
+        harness.put_record("g/p/wk-1/0", rec.ChunkRecord([TaskRecord(TaskState.ACTIVE, 1, "m-9")]))
+        harness.put_record("g/m/m-9", rec.MachineRecord("g", "a", False, "10.1.0.9:9000"))
+        report_exit(harness, epoch)
+        assert bool(harness.core.state_writer.exits) is accepted
+        # In a new epoch the machine, and with it the attempt, may have another owner.
+        harness.put_record(rec.EPOCH, rec.EpochRecord(2, "n1", {"n0": 7, "n1": 8}, {"m-9": "n1"}))
+        harness.core.step(clock_at(201), [])
+        assert not harness.core.state_writer.exits
 
 
 def test_the_longest_message_between_controllers_fits_a_body() -> None:
@@ -137,14 +139,14 @@
     )
 
 
-def test_teams_are_shared_out_evenly() -> None:
-    rig = CoreHarness()
-    membership = rig.core.membership
-    rig.core.context.cluster_state.limits.update(
-        {f"t{index}": rig.core.context.cluster_state.limits["t"] for index in range(9)}  # ten in all
+def test_teams_are_distributed_evenly() -> None:
+    harness = CoreHarness()
+    membership = harness.core.membership
+    harness.core.context.cluster_state.limits.update(
+        {f"t{index}": harness.core.context.cluster_state.limits["t"] for index in range(9)}  # ten in all
     )
     membership.assignment.assign_teams()
-    homes = [membership.home(team) for team in rig.core.context.cluster_state.limits]
+    homes = [membership.home(team) for team in harness.core.context.cluster_state.limits]
     assert sorted(map(homes.count, ("n0", "n1"))) == [5, 5]
 
 
@@ -152,13 +154,13 @@
     return [effect for effect in effects if isinstance(effect, OutgoingCall) and effect.path == wire.COMMIT_PATH]
 
 
-def test_a_home_places_only_under_a_claim_that_no_late_commit_can_come_on_top_of() -> None:
-    rig = CoreHarness()
-    core = rig.core
+def test_a_home_places_tasks_only_after_a_claim_that_excludes_late_commits() -> None:
+    harness = CoreHarness()
+    core = harness.core
     spec = msgspec.structs.replace(SPEC, types=None, zone=None, spot=False, cpus=4.0, gpus=0.0)
-    rig.revision += 1
-    core.context.cluster_state.apply("g/j/wk-1", None, rig.revision)
-    rig.put_record("g/j/wk-1", rec.JobRecord(spec, 0))
+    harness.revision += 1
+    core.context.cluster_state.apply("g/j/wk-1", None, harness.revision)
+    harness.put_record("g/j/wk-1", rec.JobRecord(spec, 0))
     core.membership.assignment.team_homes["t"] = "n0"
     core.membership._last_renewal_at = clock_at(100_000).monotonic
     core.context.state_served_at = clock_at(100).monotonic
@@ -167,7 +169,7 @@
     reads: list[OutgoingCall] = []
 
     def step(at: float, *events: object) -> dict[str, OutgoingCall]:
-        """The commits of a step, by whether they claim the team or place the task."""
+        """Return the commits of a step, by whether they claim the team or place the task."""
         effects = core.step(clock_at(at), [*events])  # type: ignore[list-item]
         reads.extend(
             effect for effect in effects if isinstance(effect, OutgoingCall) and effect.path.startswith("/store/")
@@ -176,28 +178,28 @@
         return {"place" if b'"g/p/wk-1/0","data"' in (call.body or b"") else "claim": call for call in calls}
 
     def ok(call: OutgoingCall) -> CallResult:
-        rig.revision += 1
-        return CallResult(call.call_id, 200, msgspec.json.encode({"ledger": rig.revision}))
+        harness.revision += 1
+        return CallResult(call.call_id, 200, msgspec.json.encode({"ledger": harness.revision}))
 
-    rig.token = 1 << 24  # the machine has heard this owner
-    claim = step(200, IncomingRequest(1, RequestKind.REPORT, rig.report()))["claim"]
+    harness.token = 1 << 24  # the machine has acknowledged this owner's token
+    claim = step(200, IncomingRequest(1, RequestKind.REPORT, harness.report()))["claim"]
     assert b"g/t/" in (claim.body or b"")
-    # Committed, but the watch has not brought yet what was committed before it.
+    # Committed, but the watch has not yet delivered what was committed before.
     assert "place" not in {**step(201.2, ok(claim)), **step(202)}
-    core.context.cluster_state.revision = rig.revision
+    core.context.cluster_state.revision = harness.revision
     place = step(203)["place"]
-    # Its outcome is not known: it may be executed at any time from now on.
+    # The outcome is unknown: the commit may still be executed at any later time.
     again = {**step(203.2, CallResult(place.call_id, 0)), **step(203.6)}
     assert reads
     again.update(step(204, *[CallResult(read.call_id, 404, msgspec.json.encode({"ledger": 0})) for read in reads]))
     again.update(step(204.5))
     assert "place" not in again
     step(205, ok(again["claim"]))
-    core.context.cluster_state.revision = rig.revision
+    core.context.cluster_state.revision = harness.revision
     assert "place" in step(206)
 
 
-def test_a_start_does_not_read_the_jobs_that_are_over() -> None:
+def test_a_starting_controller_does_not_read_finished_jobs() -> None:
     scenario = Scenario("team t cpus=64 max=64\ntype g16 cpus=16 memory=64\nup g16 count=2\nrun 0.05", 1).run()
     for number in range(5000):
         scenario.state.revision += 1
@@ -212,7 +214,7 @@
 
     scenario.state.serve = counted  # type: ignore[method-assign]
     scenario.world.at(seconds(5), lambda: scenario._do(["submit", "wk-1", "team=t", "tasks=2", "run=5"]))
-    # A job that was over before all controllers started: its state is read from the store.
+    # A job that was finished before all controllers started: its state is read on demand.
     scenario.world.at(seconds(5), lambda: scenario._do(["submit", "wk-700123", "team=t", "tasks=2", "run=5"]))
     scenario.world.run_until(seconds(30))
     assert len(pages) == len(scenario.controllers)
@@ -220,35 +222,35 @@
     assert not [start for start in scenario.oracle.starts if start[1][0] == "wk-700123"]
 
 
-def test_ends_are_gathered_while_changes_are_short_and_the_last_ones_come_with_the_final_state() -> None:
-    rig = CoreHarness()
-    core = rig.core
+def test_exits_are_batched_while_writes_are_scarce_and_the_last_ones_come_with_the_final_record() -> None:
+    harness = CoreHarness()
+    core = harness.core
     spec = msgspec.structs.replace(SPEC, id="wk-2", kind=wire.JobKind.ARRAY, tasks=3)
-    rig.put_record(rec.EPOCH, rec.EpochRecord(2, "n0", {"n0": 7, "n1": 8}, {"m-1": "n0"}))
-    core.context.cluster_state.apply("g/j/wk-1", None, rig.revision)  # nothing waits for the team's limit
-    rig.put_record("g/j/wk-2", rec.JobRecord(spec, 0))
-    rig.put_record("g/p/wk-2/0", rec.ChunkRecord([TaskRecord(TaskState.ACTIVE, 1, "m-1")] * 3))
+    harness.put_record(rec.EPOCH, rec.EpochRecord(2, "n0", {"n0": 7, "n1": 8}, {"m-1": "n0"}))
+    core.context.cluster_state.apply("g/j/wk-1", None, harness.revision)  # so that no job waits for the team's limit
+    harness.put_record("g/j/wk-2", rec.JobRecord(spec, 0))
+    harness.put_record("g/p/wk-2/0", rec.ChunkRecord([TaskRecord(TaskState.ACTIVE, 1, "m-1")] * 3))
     core.membership.assignment.team_homes["t"] = "n0"
     core.membership._last_renewal_at = clock_at(100_000).monotonic
     core.context.state_served_at = clock_at(100).monotonic
 
     def committed(at: float) -> list[dict[str, object]]:
-        """What is committed in a step, with changes short; each commit is answered."""
+        """Return the operations committed in a step while the write budget is low; each commit is answered."""
         core.context.now = clock_at(at).monotonic
         core.context.state_writes.available(core.context.now)
         core.context.state_writes.tokens = 0.7 * core.context.state_writes.burst
         core.membership.active_until = clock_at(10_000).monotonic
         calls = commits([*core.step(clock_at(at), [])])
         for call in calls:
-            rig.revision += 1
-            core.step(clock_at(at), [CallResult(call.call_id, 200, msgspec.json.encode({"ledger": rig.revision}))])
+            harness.revision += 1
+            core.step(clock_at(at), [CallResult(call.call_id, 200, msgspec.json.encode({"ledger": harness.revision}))])
         return [op for call in calls for op in msgspec.json.decode(call.body or b"").get("apply", [])]
 
     committed(200)
     core.state_writer.record_exit("wk-2", 0, 1, Outcome(True))
     core.state_writer.record_exit("wk-2", 1, 1, Outcome(True))
     assert [op for at in (201, 202, 203) for op in committed(at) if "wk-2" in str(op)] == []
-    assert not core.state_writer.commit_pending  # nothing but the wait kept them
+    assert not core.state_writer.commit_pending  # they were delayed only by the batching
     core.state_writer.record_exit("wk-2", 2, 1, Outcome(True))
     ops = [op for op in committed(203.5) if "wk-2" in str(op)]
     assert {"write": "g/f/wk-2", "data": {"done": True, "tasks": 3}} in ops
@@ -256,100 +258,102 @@
     assert not [op for op in ops if op.get("write") == "g/p/wk-2/0"]
 
 
-def test_an_end_has_its_own_chunk_gathered_anew_and_no_other() -> None:
-    rig = CoreHarness()
-    cluster_state, exit_tracker = rig.core.context.cluster_state, rig.core.state_writer.exit_tracker
+def test_an_exit_rebuilds_only_the_batch_of_its_own_chunk() -> None:
+    harness = CoreHarness()
+    cluster_state, exit_tracker = harness.core.context.cluster_state, harness.core.state_writer.exit_tracker
     size = cluster_state.chunk_size
     spec = msgspec.structs.replace(SPEC, id="wk-2", kind=wire.JobKind.ARRAY, tasks=3 * size)
-    rig.put_record(rec.EPOCH, rec.EpochRecord(2, "n0", {"n0": 7, "n1": 8}, {"m-1": "n0"}))
-    rig.put_record("g/j/wk-2", rec.JobRecord(spec, 0))
-    rig.step([])
-    rig.core.membership.assignment.team_homes["t"] = "n0"
+    harness.put_record(rec.EPOCH, rec.EpochRecord(2, "n0", {"n0": 7, "n1": 8}, {"m-1": "n0"}))
+    harness.put_record("g/j/wk-2", rec.JobRecord(spec, 0))
+    harness.step([])
+    harness.core.membership.assignment.team_homes["t"] = "n0"
     rows = [TaskRecord(TaskState.ACTIVE, 1, "m-1")] * size
     for index in range(3):
-        rig.put_record(f"g/p/wk-2/{index}", rec.ChunkRecord(rows))
+        harness.put_record(f"g/p/wk-2/{index}", rec.ChunkRecord(rows))
     for number in (0, 1, size, 2 * size):
         exit_tracker.record_exit("wk-2", number, 1, Outcome(True))
     before = exit_tracker.batches()
     assert [len(before["wk-2", index].exits) for index in range(3)] == [2, 1, 1]
     exit_tracker.record_exit("wk-2", size + 1, 1, Outcome(False, "stopped"))
     after = exit_tracker.batches()
-    # A whole job's ends were gathered anew for each, 25,000 of the largest array's.
+    # Each exit used to rebuild all batches of its job, 25,000 exits for the largest array.
     assert [after["wk-2", index] is before["wk-2", index] for index in range(3)] == [True, False, True]
     assert len(after["wk-2", 1].exits) == 2 and after["wk-2", 1].completed == 1
-    # What the records tell is settled, and only that chunk is looked at.
-    rig.put_record("g/p/wk-2/0", rec.ChunkRecord([TaskRecord(TaskState.DONE, 1)] + rows[1:]))
+    # Exits that the records confirm are dropped, and only the batch of that chunk is rebuilt.
+    harness.put_record("g/p/wk-2/0", rec.ChunkRecord([TaskRecord(TaskState.DONE, 1)] + rows[1:]))
     assert len(exit_tracker.batches()["wk-2", 0].exits) == 1
-    rig.revision += 1
-    cluster_state.apply("g/j/wk-2", None, rig.revision)
+    harness.revision += 1
+    cluster_state.apply("g/j/wk-2", None, harness.revision)
     assert exit_tracker.batches() == {} and not exit_tracker.exits
 
 
-def test_ends_are_noted_at_once_only_for_teams_whose_limit_holds_their_work_up() -> None:
-    rig = CoreHarness()
-    core = rig.core
+def test_only_teams_whose_limit_delays_their_jobs_are_bound() -> None:
+    harness = CoreHarness()
+    core = harness.core
     limit = core.context.cluster_state.limits["t"].cpu_limit
-    rig.revision += 1
-    core.context.cluster_state.apply("g/j/wk-1", None, rig.revision)
+    harness.revision += 1
+    core.context.cluster_state.apply("g/j/wk-1", None, harness.revision)
     spec = msgspec.structs.replace(SPEC, id="wk-2", kind=wire.JobKind.ARRAY, tasks=100, cpus=limit / 100, gpus=0.0)
-    rig.put_record("g/j/wk-2", rec.JobRecord(spec, 0))
+    harness.put_record("g/j/wk-2", rec.JobRecord(spec, 0))
     for active, bound in ((50, set()), (89, set()), (91, {"t"}), (100, set())):
         rows = [TaskRecord(TaskState.ACTIVE, 1, "m-1")] * active + [TaskRecord()] * (100 - active)
-        rig.put_record("g/p/wk-2/0", rec.ChunkRecord(rows))
-        rig.put_record("g/j/wk-3", rec.JobRecord(msgspec.structs.replace(spec, id="wk-3", tasks=90), 0))
+        harness.put_record("g/p/wk-2/0", rec.ChunkRecord(rows))
+        harness.put_record("g/j/wk-3", rec.JobRecord(msgspec.structs.replace(spec, id="wk-3", tasks=90), 0))
         if active == 100:
-            rig.revision += 1
-            core.context.cluster_state.apply("g/j/wk-3", None, rig.revision)  # nothing waits
+            harness.revision += 1
+            core.context.cluster_state.apply("g/j/wk-3", None, harness.revision)  # no job waits
         assert teams_held_by_limit(core.context.cluster_state) == bound, active
 
 
-def test_a_job_past_helping_has_no_privilege_if_its_team_has_more_than_its_guarantee() -> None:
-    rig = CoreHarness()
-    core = rig.core
+def test_an_array_that_missed_its_objectives_loses_the_guarantee_if_its_team_exceeds_it() -> None:
+    harness = CoreHarness()
+    core = harness.core
     core.context.cluster.objectives = [Objective("finished", 70.0, 0.8, "c"), Objective("wait", 100.0, 0.9, "c")]
     guarantee = core.context.cluster_state.limits["t"].cpus
     spec = msgspec.structs.replace(
         SPEC, kind=wire.JobKind.ARRAY, tasks=4, cpus=guarantee / 8, gpus=0.0, estimate_s=20.0, job_class="c"
     )
-    rig.revision += 1
-    core.context.cluster_state.apply("g/j/wk-1", None, rig.revision)
+    harness.revision += 1
+    core.context.cluster_state.apply("g/j/wk-1", None, harness.revision)
     now = core.context.wall_time.timestamp()
 
     def submit(name: str, age: float) -> None:
         record = rec.JobRecord(msgspec.structs.replace(spec, id=name), int((now - age) * 1000))
-        rig.put_record(f"g/j/{name}", record)
+        harness.put_record(f"g/j/{name}", record)
 
-    def pressing() -> set[str]:
+    def using_guarantee() -> set[str]:
         cluster_state = core.context.cluster_state
-        inside = cluster_state.guaranteed_jobs()
+        guaranteed = cluster_state.guaranteed_jobs()
         return {
-            name for name, job in cluster_state.queued_jobs.items() if core.scheduler.ordering.is_pressing(job, inside)
+            name
+            for name, job in cluster_state.queued_jobs.items()
+            if core.scheduler.ordering.uses_guarantee(job, guaranteed)
         }
 
     submit("wk-2", 120.0)
     submit("wk-3", 30.0)
-    # All that the team has fits: it need not wait for others, however late.
-    assert pressing() == {"wk-2", "wk-3"}
+    # All of the team's jobs fit into its guarantee, so even a late one need not wait for other teams.
+    assert using_guarantee() == {"wk-2", "wk-3"}
     submit("wk-4", 10.0)
     assert core.context.cluster_state.guaranteed_jobs() == {"wk-2", "wk-3"}
-    assert pressing() == {"wk-3"}
-    # A service that is late is missed as long as it is not up.
+    assert using_guarantee() == {"wk-3"}
+    # A late service is needed as much as before.
     late = core.context.cluster_state.jobs["wk-2"]
     service = rec.JobRecord(msgspec.structs.replace(spec, kind=wire.JobKind.SERVICE), late.record.accepted_ms)
-    assert core.scheduler.ordering._past_helping(late) and not core.scheduler.ordering._past_helping(
+    assert core.scheduler.ordering._missed_all_objectives(late) and not core.scheduler.ordering._missed_all_objectives(
         Job(service, 1, 10)
     )
-    # Nor is anything left lying for ever.
+    # A starved array gets its right back.
     submit("wk-5", 400.0)
-    assert pressing() == {"wk-5"}
+    assert using_guarantee() == {"wk-5"}
 
 
-def test_the_more_work_waits_the_rarer_are_rounds_unless_there_is_more_to_write() -> None:
+def test_rounds_are_rarer_with_a_larger_backlog_unless_the_last_change_was_full() -> None:
     state_writer = CoreHarness().core.state_writer
     pauses = {}
-    for waiting in (0, 20, 70, 5000):
-        state_writer.waiting_jobs = waiting
-        pauses[waiting] = round(state_writer._flush_delay().total_seconds() * 1000)
+    for queued_jobs in (0, 20, 70, 5000):
+        state_writer.waiting_jobs = queued_jobs
+        pauses[queued_jobs] = round(state_writer._flush_delay().total_seconds() * 1000)
     assert pauses == {0: 100, 20: 100, 70: 200, 5000: 400}
     state_writer._was_full = True
     assert state_writer._flush_delay().total_seconds() == 0.1
