--- a/src/gladecroft/cli.py
+++ b/src/gladecroft/cli.py
@@ -46,7 +46,7 @@
     logging.basicConfig(level=LEVELS[name], stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
 
 
-class _Lazy(click.Group):
+class _LazyGroup(click.Group):
     """A group whose further commands are imported only when called: the daemon needs none of them."""
 
     further = {
@@ -66,7 +66,7 @@
         return command
 
 
-@click.group(cls=_Lazy)
+@click.group(cls=_LazyGroup)
 @click.version_option(__version__, prog_name="gladecroft")
 def main() -> None:
     """A cluster scheduler in which a high-priority and a low-priority placer cooperate."""
@@ -88,7 +88,7 @@
     """Run a controller until it is ended."""
     platform, operator = _load(config, properties)
     _log_to_stderr()
-    from gladecroft.service import Service  # the other commands need no sockets
+    from gladecroft.service import ControllerService  # the other commands need no sockets
 
     # Records make no cycles, and there are many of them: looking through them often takes much processor time.
     gc.freeze()
@@ -96,7 +96,7 @@
     try:
         # asyncio's own loop asks the kernel for news at every turn and takes sockets off its list between reads; in a
         # large fleet that costs much of the processor time.
-        anyio.run(Service(platform, operator).run, backend_options={"use_uvloop": True})
+        anyio.run(ControllerService(platform, operator).run, backend_options={"use_uvloop": True})
     except KeyboardInterrupt:
         sys.exit(130)
     except OSError as error:
@@ -129,9 +129,9 @@
     except SettingsError as error:
         click.echo(f"gladecroft: {error}", err=True)
         sys.exit(BAD_SETTINGS)
-    from gladecroft.transport.client import Answer, Client
+    from gladecroft.transport.client import Client, ClientResponse
 
-    async def ask() -> Answer:
+    async def ask() -> ClientResponse:
         path = VIEW_PATH if view else f"{wire.SUBMIT_PATH}/{job}"
         return await Client(1, timedelta(seconds=3)).request(addr, "GET", path, None, timedelta(seconds=5))
 
--- a/src/gladecroft/coordination/context.py
+++ b/src/gladecroft/coordination/context.py
@@ -12,7 +12,7 @@
 
 from gladecroft.bookkeeping.cluster_state import ClusterState
 from gladecroft.coordination.events import Effect, IncomingRequest, OutgoingCall, Reply, Target
-from gladecroft.policies import Panel, switched_on
+from gladecroft.policies import PolicyEngine, build_policy_engine
 from gladecroft.protocol.settings import MAX_CLOCK_DRIFT, OperatorSettings, PlatformSettings, member_ttl
 from gladecroft.protocol.wire import ErrorReply, decode, encode
 
@@ -86,9 +86,12 @@
         self.report_interval = timedelta(seconds=self.cluster.workers.report_s)
         self.cluster_state = ClusterState(self.cluster.teams, self.cluster.state.value_kb)
         #: The enabled policies; None if no policy is enabled.
-        self.panel: Panel | None = switched_on(operator_settings.policy_names())
-        if self.panel is not None:
-            self.cluster_state.on_policy_change, self.cluster_state.on_policy_reset = self.panel.take, self.panel.forget
+        self.policy_engine: PolicyEngine | None = build_policy_engine(operator_settings.policy_names())
+        if self.policy_engine is not None:
+            self.cluster_state.on_policy_change, self.cluster_state.on_policy_reset = (
+                self.policy_engine.update_record,
+                self.policy_engine.clear_records,
+            )
         self.records_loaded = False
         self.state_served_at: timedelta | None = None
         self.state_failing_since: timedelta | None = None
--- a/src/gladecroft/coordination/core.py
+++ b/src/gladecroft/coordination/core.py
@@ -65,8 +65,8 @@
         """Process a batch of events and return the effects to carry out."""
         context = self.context
         context.now, context.wall_time = clock.monotonic, clock.wall
-        if context.panel is not None:
-            context.panel.begin(clock.wall)
+        if context.policy_engine is not None:
+            context.policy_engine.begin_round(clock.wall)
         for event in events if self.admission is None else user_requests_last(events):
             try:
                 self._handle_event(event)
@@ -82,7 +82,7 @@
         self._apply_epoch_change()
         self.consent.tick()
         self.users.tick()
-        if context.panel is not None:
+        if context.policy_engine is not None:
             self.operator_commands.tick()
         self.machine_manager.check_silence()
         self.autoscaler.tick()
@@ -191,9 +191,13 @@
             },
             "queues": {**self.users.queue_lengths(), "exits": len(self.state_writer.exits)},
         }
-        panel = self.context.panel
-        if panel is not None:
+        policy_engine = self.context.policy_engine
+        if policy_engine is not None:
             view["policies"] = {
-                name: {"asked": panel.asked[name], "rounds_not_heard": panel.dropped[name]} for name in panel.policies
+                name: {
+                    "asked": policy_engine.query_counts[name],
+                    "rounds_not_heard": policy_engine.suspension_counts[name],
+                }
+                for name in policy_engine.policies
             }
         return view
--- a/src/gladecroft/coordination/fleet/autoscaler.py
+++ b/src/gladecroft/coordination/fleet/autoscaler.py
@@ -15,7 +15,7 @@
 from gladecroft.coordination.admission.drf import ResourceVector
 from gladecroft.coordination.context import ControllerContext
 from gladecroft.coordination.fleet.cloud_client import CloudClient
-from gladecroft.coordination.fleet.packing import Bin, BinPool, PackingConstraints, RentalPlan, empty_bin
+from gladecroft.coordination.fleet.packing import Bin, BinIndex, PackingConstraints, RentalPlan, empty_bin
 from gladecroft.coordination.fleet.reconciler import MachineReconciler
 from gladecroft.coordination.fleet.sizing import (
     IdleMachine,
@@ -27,7 +27,7 @@
 from gladecroft.coordination.membership import Membership
 from gladecroft.coordination.scheduling import MOVED_NOTE_PREFIX, Scheduler
 from gladecroft.coordination.state_writer import StateWriter
-from gladecroft.policies.interface import Demand
+from gladecroft.policies.interface import CapacityDemand
 from gladecroft.protocol.wire import JobKind
 
 log = logging.getLogger(__name__)
@@ -106,7 +106,7 @@
         scheduler.pending.refresh(self.context.wall_time.timestamp())
         scheduler.candidate_cache.refresh(self.cluster_state.guaranteed_jobs())
         # The bin pool keeps only bins that can hold at least the smallest queued task.
-        bin_pool = BinPool(bins, workload.smallest_task_cpus())
+        bin_pool = BinIndex(bins, workload.smallest_task_cpus())
         plan = RentalPlan(
             self._constraints(), bin_pool, expensive_cpus, scheduler.low_priority_headroom(), self._machines_per_zone()
         )
@@ -124,8 +124,8 @@
             )
             if not placed and max_starts is None and pending_jobs.mark_infeasible(subqueue, job):
                 pending_jobs.skip(subqueue)
-        if self.context.panel is not None:
-            for demand in self.context.panel.demand():
+        if self.context.policy_engine is not None:
+            for demand in self.context.policy_engine.capacity_demands():
                 if self._is_due(demand):
                     plan.reserve(demand, bins, lambda name, pool: self._closed_by_policy(name, pool) is not None)
         self.cloud_client.rent(plan.to_rent)
@@ -159,28 +159,30 @@
             self._remaining_limit,
             self.cloud_client.unavailable(),
             self.cloud_client.rental_caps,
-            None if self.context.panel is None else self._policy_allows,
+            None if self.context.policy_engine is None else self._policy_allows,
         )
 
     def _policy_allows(self, job: Job, machine: str, pool: CapacityPool) -> bool:
-        panel = self.context.panel
-        return panel is None or panel.refusal(job, machine, pool) is None
+        policy_engine = self.context.policy_engine
+        return policy_engine is None or policy_engine.rejection_reason(job, machine, pool) is None
 
     def _closed_by_policy(self, machine: str, pool: CapacityPool) -> str | None:
         """Why a policy closes the machine to all new tasks; None if none does."""
-        return None if self.context.panel is None else self.context.panel.shut(machine, pool)
+        return (
+            None if self.context.policy_engine is None else self.context.policy_engine.exclusion_reason(machine, pool)
+        )
 
-    def _is_due(self, demand: Demand) -> bool:
+    def _is_due(self, demand: CapacityDemand) -> bool:
         """Whether capacity demanded at a given time must be reserved now, because machines take time to boot."""
         boot_times = [
             machine_type.boot_s
             for machine_type in self.scheduler.types.values()
-            if any(demand.suits(machine_type.name, zone) for zone in machine_type.zones)
+            if any(demand.matches(machine_type.name, zone) for zone in machine_type.zones)
         ]
         lead_time = (
             timedelta(seconds=1.5 * max(boot_times, default=0.0)) + 2 * self.context.report_interval + PLAN_INTERVAL
         )
-        return demand.at - self.context.wall_time <= lead_time
+        return demand.needed_at - self.context.wall_time <= lead_time
 
     # Inputs of the decisions ---------------------------------------------------------------------------------
 
--- a/src/gladecroft/coordination/fleet/cloud_client.py
+++ b/src/gladecroft/coordination/fleet/cloud_client.py
@@ -102,7 +102,7 @@
         """Request the machine types if they are due; every controller needs them."""
         now = self.context.now
         if not self._types_in_flight and now - self._types_requested_at >= (
-            TYPES_INTERVAL if self.candidate_cache.types else timedelta(seconds=1)
+            TYPES_INTERVAL if self.candidate_cache.machine_types else timedelta(seconds=1)
         ):
             self._request_types()
 
--- a/src/gladecroft/coordination/fleet/packing.py
+++ b/src/gladecroft/coordination/fleet/packing.py
@@ -7,7 +7,7 @@
 
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import CapacityPool
-from gladecroft.policies.interface import Demand
+from gladecroft.policies.interface import CapacityDemand
 from gladecroft.protocol.wire import JobSpec, MachineType
 
 #: A capacity pool is expensive for a job if its price per usable core exceeds that of the cheapest one by this factor.
@@ -62,7 +62,7 @@
     return Bin(pool, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
 
 
-class BinPool:
+class BinIndex:
     """The bins with at least ``min_cpus`` free cores, by capacity pool; bins are dropped as they fill up."""
 
     def __init__(self, bins: list[Bin], min_cpus: float) -> None:
@@ -124,7 +124,7 @@
     """
 
     constraints: PackingConstraints
-    bin_pool: BinPool
+    bin_pool: BinIndex
     expensive_cpus: float
     low_priority_headroom: float
     machines_per_zone: dict[str, int]
@@ -260,7 +260,9 @@
             self.expensive_cpus -= machine_type.cpus
         return machine_type.name, zone, spot
 
-    def reserve(self, demand: Demand, bins: Iterable[Bin], is_closed: Callable[[str, CapacityPool], bool]) -> None:
+    def reserve(
+        self, demand: CapacityDemand, bins: Iterable[Bin], is_closed: Callable[[str, CapacityPool], bool]
+    ) -> None:
         """Reserve free bins for a policy's demand, and rent what is missing, the cheapest cores first.
 
         Machines that ``is_closed`` names take no new tasks, so they don't count.
@@ -271,7 +273,7 @@
         for bin in bins:
             if missing <= 1e-6:
                 return
-            if bin.cpus > 1e-6 and demand.suits(*bin.pool[:2]) and not is_closed(bin.machine, bin.pool):
+            if bin.cpus > 1e-6 and demand.matches(*bin.pool[:2]) and not is_closed(bin.machine, bin.pool):
                 missing -= bin.cpus
                 bin.used = True
         prices: list[tuple[float, int, str, CapacityPool]] = []
@@ -280,7 +282,7 @@
                 for spot in (True, False):
                     pool = (machine_type.name, zone, spot)
                     if (
-                        demand.suits(machine_type.name, zone)
+                        demand.matches(machine_type.name, zone)
                         and pool not in self.constraints.unavailable
                         and not is_closed("", pool)
                     ):
--- a/src/gladecroft/coordination/fleet/reconciler.py
+++ b/src/gladecroft/coordination/fleet/reconciler.py
@@ -84,7 +84,7 @@
         for name, machine in cloud_client.listed.items():
             if name in cloud_client.returned:
                 continue
-            machine_type = cloud_client.candidate_cache.types.get(machine.type)
+            machine_type = cloud_client.candidate_cache.machine_types.get(machine.type)
             boot_time = timedelta(seconds=machine_type.boot_s if machine_type else 60.0)
             if machine.state is MachineState.FAILED:
                 to_return.append(name)
--- a/src/gladecroft/coordination/operator_commands.py
+++ b/src/gladecroft/coordination/operator_commands.py
@@ -13,7 +13,7 @@
 from gladecroft.coordination.membership import Membership
 from gladecroft.coordination.state_writer import PolicyWrite, StateWriter
 from gladecroft.policies import cordon
-from gladecroft.policies.interface import Place
+from gladecroft.policies.interface import MachineAttributes
 from gladecroft.protocol import operators, wire
 
 #: How long a command may wait for its commit. The service times requests out after 4.5 s.
@@ -31,9 +31,13 @@
         #: By record key: the request id of the command that waits for its commit, and when it came.
         self._pending: dict[str, tuple[int, timedelta]] = {}
 
-    def _cordon_policy(self) -> cordon.Cordon | None:
-        policy = None if self.context.panel is None else self.context.panel.policies.get(cordon.Cordon.subject)
-        return policy if isinstance(policy, cordon.Cordon) else None
+    def _cordon_policy(self) -> cordon.CordonPolicy | None:
+        policy = (
+            None
+            if self.context.policy_engine is None
+            else self.context.policy_engine.policies.get(cordon.CordonPolicy.subject)
+        )
+        return policy if isinstance(policy, cordon.CordonPolicy) else None
 
     def list_cordons(self, request: IncomingRequest) -> None:
         """Reply with the cordons in effect, those that cover the most machines first."""
@@ -47,7 +51,7 @@
         cordons = [
             operators.CordonStatus(**msgspec.structs.asdict(record), machines=self._count_cordoned(record))
             for record in policy.records.values()
-            if not record.over(self.context.wall_time)
+            if not record.is_expired(self.context.wall_time)
         ]
         cordons.sort(key=lambda each: (-each.machines, each.scope.value, each.name))
         self.context.reply(request.request_id, 200, wire.encode(operators.CordonList(cordons)))
@@ -55,7 +59,7 @@
     def _count_cordoned(self, record: cordon.CordonRecord) -> int:
         """Number of existing machines that a cordon covers."""
         return sum(
-            record.shuts(Place.of(name, machine.pool))
+            record.matches(MachineAttributes.from_pool(name, machine.pool))
             for name, machine in self.cluster_state.machines.items()
             if machine.use is not MachineUse.RETURNED
         )
@@ -83,14 +87,16 @@
             return
         if not command.lift and name not in policy.records and not self._has_room(policy):
             context.reply_error(
-                request.request_id, 422, f"there are {cordon.MOST} cordons already: lift some, or shut a whole type"
+                request.request_id,
+                422,
+                f"there are {cordon.MAX_CORDONS} cordons already: lift some, or shut a whole type",
             )
             return
         key = rec.policy_key(policy.subject, name)
         superseded = self._pending.pop(key, None)
         if superseded is not None:
             context.reply_error(superseded[0], 409, "another order for it has come meanwhile")
-        value = None if command.lift else msgspec.json.encode(cordon.record_of(command, context.wall_time))
+        value = None if command.lift else msgspec.json.encode(cordon.make_record(command, context.wall_time))
         self._pending[key] = (request.request_id, context.now)
 
         def on_commit() -> None:
@@ -101,12 +107,12 @@
 
         self.state_writer.policy_writes[key] = PolicyWrite(value, context.now, on_commit)
 
-    def _has_room(self, policy: cordon.Cordon) -> bool:
+    def _has_room(self, policy: cordon.CordonPolicy) -> bool:
         """Whether another cordon can be stored. Schedules the deletion of expired ones."""
-        for name in [name for name, record in policy.records.items() if record.over(self.context.wall_time)]:
+        for name in [name for name, record in policy.records.items() if record.is_expired(self.context.wall_time)]:
             key = rec.policy_key(policy.subject, name)
             self.state_writer.policy_writes.setdefault(key, PolicyWrite(None, self.context.now, lambda: None))
-        return len(policy.records) + len(self._pending) < cordon.MOST
+        return len(policy.records) + len(self._pending) < cordon.MAX_CORDONS
 
     def tick(self) -> None:
         """Time out commands that were not committed in time.
--- a/src/gladecroft/coordination/scheduling/candidate_cache.py
+++ b/src/gladecroft/coordination/scheduling/candidate_cache.py
@@ -12,7 +12,7 @@
 from gladecroft.coordination.membership import Membership
 from gladecroft.coordination.scheduling.placement import Candidate, PlacedTask
 from gladecroft.coordination.state_writer import StateWriter
-from gladecroft.policies import Panel
+from gladecroft.policies import PolicyEngine
 from gladecroft.protocol.operators import format_utc
 from gladecroft.protocol.wire import JobKind, JobSpec, MachineType
 
@@ -38,12 +38,12 @@
         self.machine_manager = machine_manager
         self.state_writer = state_writer
         self.priority_line = priority_line
-        self.types: dict[str, MachineType] = {}
+        self.machine_types: dict[str, MachineType] = {}
         self.candidates: dict[str, Candidate] = {}
         self.by_pool: dict[CapacityPool, dict[str, Candidate]] = {}
         self._pools: dict[str, CapacityPool] = {}
         self._images: dict[str, dict[str, None]] = {}
-        self.panel = context.panel
+        self.policy_engine = context.policy_engine
         #: By job: why a policy last refused it a machine in this round.
         self.refusals: dict[str, str] = {}
         self._recomputed_count = 0
@@ -54,8 +54,8 @@
 
     def set_types(self, types: dict[str, MachineType]) -> None:
         """Replace the machine types by those that the cloud now offers."""
-        if types != self.types:
-            self.types = types
+        if types != self.machine_types:
+            self.machine_types = types
             self.invalidate_all()
 
     def refresh(self, guaranteed: set[str]) -> None:
@@ -98,7 +98,7 @@
             return None
         if self.state_writer.machine_writes.get(name, record) != record:
             return None
-        machine_type = self.types.get(record.type)
+        machine_type = self.machine_types.get(record.type)
         if machine_type is None:
             return None
         owner = self.membership.owner(name) or ""
@@ -157,7 +157,7 @@
 
     def machine_allowed(self, spec: JobSpec, type_name: str, zone: str, spot: bool) -> bool:
         """Whether the job allows machines of a type in a zone, on the spot market or not."""
-        machine_type = self.types.get(type_name)
+        machine_type = self.machine_types.get(type_name)
         return (
             machine_type is not None
             and self.type_allowed(spec, machine_type)
@@ -173,34 +173,42 @@
         usable: list[Candidate] = []
         for pool, group in self.by_pool.items():
             if pool[1] not in full_zones and self.machine_allowed(job.spec, *pool):
-                if self.panel is None:
+                if self.policy_engine is None:
                     usable += group.values()
                 else:
                     usable += [
                         candidate
                         for candidate in group.values()
-                        if self._allowed_by_policies(self.panel, job, candidate, pool)
+                        if self._allowed_by_policies(self.policy_engine, job, candidate, pool)
                     ]
         return usable
 
-    def _allowed_by_policies(self, panel: Panel, job: Job, candidate: Candidate, pool: CapacityPool) -> bool:
-        reason = panel.refusal(job, candidate.machine, pool) or self._drain_refusal(panel, job, candidate.machine, pool)
+    def _allowed_by_policies(
+        self, policy_engine: PolicyEngine, job: Job, candidate: Candidate, pool: CapacityPool
+    ) -> bool:
+        reason = policy_engine.rejection_reason(job, candidate.machine, pool) or self._drain_refusal(
+            policy_engine, job, candidate.machine, pool
+        )
         if reason is not None:
             self.refusals[job.id] = reason
             return False
-        candidate.tie_breaker = panel.score(job, candidate.machine, pool)
+        candidate.tie_breaker = policy_engine.score(job, candidate.machine, pool)
         return True
 
     @staticmethod
-    def _drain_refusal(panel: Panel, job: Job, machine: str, pool: CapacityPool) -> str | None:
+    def _drain_refusal(policy_engine: PolicyEngine, job: Job, machine: str, pool: CapacityPool) -> str | None:
         """Return why a machine that is being drained can't take a task of the job; None if it can.
 
         It takes only tasks of arrays that are estimated to end before the drain begins to stop tasks.
         """
-        drain = panel.drain(machine, pool)
+        drain = policy_engine.drain(machine, pool)
         if drain is None:
             return None
-        expected_end = panel.now + timedelta(seconds=job.spec.estimate_s)
-        if job.spec.kind is JobKind.ARRAY and job.spec.estimate_s > 0 and expected_end <= drain.by - drain.grace:
+        expected_end = policy_engine.now + timedelta(seconds=job.spec.estimate_s)
+        if (
+            job.spec.kind is JobKind.ARRAY
+            and job.spec.estimate_s > 0
+            and expected_end <= drain.deadline - drain.checkpoint_grace
+        ):
             return None
-        return f"{drain.why}; to be empty by {format_utc(drain.by)}"
+        return f"{drain.reason}; to be empty by {format_utc(drain.deadline)}"
--- a/src/gladecroft/coordination/scheduling/evictor.py
+++ b/src/gladecroft/coordination/scheduling/evictor.py
@@ -13,7 +13,7 @@
 from gladecroft.coordination.scheduling.candidate_cache import CandidateCache
 from gladecroft.coordination.scheduling.placement import Offer
 from gladecroft.coordination.scheduling.selection import MachineSelector, task_request, zone_counts_and_cap
-from gladecroft.policies import Panel
+from gladecroft.policies import PolicyEngine
 from gladecroft.protocol.wire import JobKind
 
 #: Start of the note of a service task that is being migrated; the name of its machine follows.
@@ -56,20 +56,20 @@
                 if self.membership.job_home(job.spec) == self.context.name:
                     self.stop_task(txn, job, number, f"{reason} {name}")
 
-        if self.context.panel is not None and self.context.panel.drains():
-            self._drain_by_policy(txn, self.context.panel)
+        if self.context.policy_engine is not None and self.context.policy_engine.has_drains():
+            self._drain_by_policy(txn, self.context.policy_engine)
 
-    def _drain_by_policy(self, txn: TransactionBuilder, panel: Panel) -> None:
+    def _drain_by_policy(self, txn: TransactionBuilder, policy_engine: PolicyEngine) -> None:
         """Stop the tasks that are still on a machine when they must save and exit for it to be empty in time."""
         for name, pool in self._machines_in_use():
-            drain = panel.drain(name, pool)
-            if drain is None or panel.now < drain.by - drain.grace:
+            drain = policy_engine.drain(name, pool)
+            if drain is None or policy_engine.now < drain.deadline - drain.checkpoint_grace:
                 continue
             for (job_id, number), task in list(self.cluster_state.tasks_by_machine.get(name, {}).items()):
                 job = self.cluster_state.jobs[job_id]
                 if task.state is not TaskState.ACTIVE or job.cancelled:
                     continue
-                if self._finishes_in_time(job, task, int(drain.by.timestamp())):
+                if self._finishes_in_time(job, task, int(drain.deadline.timestamp())):
                     continue
                 if self.membership.job_home(job.spec) == self.context.name:
                     self.stop_task_or_gang(txn, job, number, f"drained {name}")
@@ -85,10 +85,12 @@
     def _machines_to_empty(self) -> list[str]:
         """Return the machines whose services are to be migrated."""
         machines = [name for name, use in self.cluster_state.evacuating_machines.items() if use is MachineUse.DRAINING]
-        panel = self.context.panel
-        if panel is not None and panel.drains():
+        policy_engine = self.context.policy_engine
+        if policy_engine is not None and policy_engine.has_drains():
             machines += [
-                name for name, pool in self._machines_in_use() if panel.drain(name, pool) and name not in machines
+                name
+                for name, pool in self._machines_in_use()
+                if policy_engine.drain(name, pool) and name not in machines
             ]
         return machines
 
--- a/src/gladecroft/coordination/scheduling/pending_queue.py
+++ b/src/gladecroft/coordination/scheduling/pending_queue.py
@@ -19,7 +19,7 @@
 from gladecroft.bookkeeping.cluster_state import ClusterState
 from gladecroft.bookkeeping.job import Job
 from gladecroft.coordination.scheduling.ordering import OVERDUE, JobOrdering
-from gladecroft.policies import Panel
+from gladecroft.policies import PolicyEngine
 from gladecroft.protocol.wire import JobKind
 
 #: Sort key of a job in its subqueue: its precedence, its work in core-seconds (time of acceptance if overdue), its id.
@@ -70,9 +70,11 @@
 class PendingQueue:
     """All pending jobs, in subqueues that are updated as jobs change and as time passes."""
 
-    def __init__(self, cluster_state: ClusterState, ordering: JobOrdering, panel: Panel | None = None) -> None:
+    def __init__(
+        self, cluster_state: ClusterState, ordering: JobOrdering, policy_engine: PolicyEngine | None = None
+    ) -> None:
         self.cluster_state = cluster_state
-        self.panel = panel
+        self.policy_engine = policy_engine
         self.ordering = ordering
         self.rounds = 0
         self._seen_resets = -1
@@ -116,7 +118,9 @@
             return
         precedence, work, reorder_at_s = self.ordering.precedence(job)
         overdue = precedence == OVERDUE
-        key = subqueue_key(job, uses_guarantee, self.panel is not None and self.panel.by_job(), overdue)
+        key = subqueue_key(
+            job, uses_guarantee, self.policy_engine is not None and self.policy_engine.is_job_specific(), overdue
+        )
         position = (precedence, work, job_id)
         if entry is not None:
             if entry.subqueue.key == key and entry.position == position and entry.reorder_at_s == reorder_at_s:
--- a/src/gladecroft/coordination/scheduling/scheduler.py
+++ b/src/gladecroft/coordination/scheduling/scheduler.py
@@ -74,7 +74,7 @@
         self.selector = MachineSelector(high_priority, LowPriorityPlacer(), self.priority_line)
         self.ordering = JobOrdering(context)
         #: All pending jobs in scheduling order.
-        self.pending = PendingQueue(context.cluster_state, self.ordering, context.panel)
+        self.pending = PendingQueue(context.cluster_state, self.ordering, context.policy_engine)
         self.evictor = Evictor(context, membership, self.candidate_cache, self.selector)
         self.writer = PlacementWriter(context, self.candidate_cache)
         #: By job: the last round that visited it, and why it waits. For jobs not visited the subqueue's reason holds.
@@ -113,7 +113,7 @@
     @property
     def types(self) -> dict[str, MachineType]:
         """The machine types that the cloud offers, by name."""
-        return self.candidate_cache.types
+        return self.candidate_cache.machine_types
 
     def zone_counts_and_cap(self, job: Job) -> tuple[dict[str, int], int]:
         """Return the number of the job's tasks in each zone, and the most that any zone may hold."""
@@ -204,8 +204,8 @@
 
     def is_held(self, job: Job) -> bool:
         """Whether a policy delays the start of the job's tasks; if so, records the reason."""
-        panel = self.context.panel
-        reason = panel.hold(job) if panel is not None and panel.holds() else None
+        policy_engine = self.context.policy_engine
+        reason = policy_engine.hold_reason(job) if policy_engine is not None and policy_engine.has_holds() else None
         if reason is not None and self.membership.job_home(job.spec) == self.context.name:
             self.set_wait_reason(job.id, reason)
         return reason is not None
@@ -295,7 +295,7 @@
             tuple(sorted(full_zones)),
             high_priority or guaranteed,
         )
-        if self.context.panel is not None and self.context.panel.by_job():
+        if self.context.policy_engine is not None and self.context.policy_engine.is_job_specific():
             constraints = (*constraints, job.id)  # policies may allow one job a machine that they refuse to another
         preemption_key = (*constraints, request.rank, request.guaranteed, request.team, tier)
         ranking: Ranking | None = None
@@ -426,8 +426,8 @@
         """Return why a job waits, followed by why some of its tasks last stopped; empty if it does not wait."""
         parts = []
         if job.queued_count:
-            panel = self.context.panel
-            hold = panel.hold(job) if panel is not None and panel.holds() else None
+            policy_engine = self.context.policy_engine
+            hold = policy_engine.hold_reason(job) if policy_engine is not None and policy_engine.has_holds() else None
             # The subqueue's reason is newer for a job that the last rounds have skipped.
             _, reason = max(
                 self.wait_reasons.get(job.id, (-1, "")), self.pending.last_close(job), key=lambda known: known[0]
--- a/src/gladecroft/lab/commands.py
+++ b/src/gladecroft/lab/commands.py
@@ -16,7 +16,7 @@
 from gladecroft.lab.loopback import Lab, LabError
 from gladecroft.lab.scenario import Scenario, ScenarioError
 from gladecroft.protocol.settings import OperatorSettings, SettingsError, load_operator
-from gladecroft.toolbox.controller_client import BAD_INPUT, fail
+from gladecroft.toolbox.controller_client import EXIT_BAD_INPUT, exit_with_error
 
 BROKEN = 1
 #: A killed controller is started again after this.
@@ -43,11 +43,11 @@
         try:
             text = Path(path).read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError) as error:
-            fail(BAD_INPUT, f"{path}: {error}")
+            exit_with_error(EXIT_BAD_INPUT, f"{path}: {error}")
         try:
             scenario = Scenario(text, seed).run()
         except ScenarioError as error:
-            fail(BAD_INPUT, f"{path}: {error}")
+            exit_with_error(EXIT_BAD_INPUT, f"{path}: {error}")
         oracle = scenario.oracle
         good = not oracle.broken and not scenario.failures
         bad += not good
@@ -75,7 +75,7 @@
     try:
         return float(at), float(span)
     except ValueError:
-        fail(BAD_INPUT, f"{name}: expected AT:FOR in seconds, such as 20:30, got {text!r}")
+        exit_with_error(EXIT_BAD_INPUT, f"{name}: expected AT:FOR in seconds, such as 20:30, got {text!r}")
 
 
 @lab.command()
@@ -106,7 +106,7 @@
     try:
         operator = load_operator(properties)
     except SettingsError as wrong:
-        fail(BAD_INPUT, str(wrong))
+        exit_with_error(EXIT_BAD_INPUT, str(wrong))
     logging.disable(logging.CRITICAL)
     show: Any = _Lines() if as_json else _table()
     made = Lab(seed, controllers, speed, port)
@@ -121,7 +121,7 @@
         error: BaseException = mine
         while isinstance(error, BaseExceptionGroup):
             error = error.exceptions[0]
-        fail(BAD_INPUT, str(error))
+        exit_with_error(EXIT_BAD_INPUT, str(error))
     finally:
         show.close()
     last = made.snapshot()
@@ -177,5 +177,5 @@
     try:
         from gladecroft.lab.live_table import Table
     except ImportError:
-        fail(BAD_INPUT, "the table needs the extra: pip install 'gladecroft[lab]', or use --json")
+        exit_with_error(EXIT_BAD_INPUT, "the table needs the extra: pip install 'gladecroft[lab]', or use --json")
     return Table()
--- a/src/gladecroft/lab/loopback.py
+++ b/src/gladecroft/lab/loopback.py
@@ -23,7 +23,7 @@
 from gladecroft.lab.worker import Kind, Worker
 from gladecroft.protocol import wire
 from gladecroft.protocol.settings import OperatorSettings, PlatformSettings
-from gladecroft.service import Service
+from gladecroft.service import ControllerService
 from gladecroft.transport.client import Client
 from gladecroft.transport.server import Handler, Request, Response, Server
 
@@ -81,14 +81,14 @@
         self._client = client
         self._group = group
         self._scope: anyio.CancelScope | None = None
-        self.service: Service | None = None
+        self.service: ControllerService | None = None
         host, _, port = platform.listen.rpartition(":")
         self._addr = (host, int(port))
 
     async def run(self, operator_settings: OperatorSettings) -> None:
         """Serve until ``kill``. ``LabError`` if its port is in use."""
         self.lives += 1
-        self.service = Service(self.platform, operator_settings)
+        self.service = ControllerService(self.platform, operator_settings)
 
         def started() -> None:
             self.alive = True
--- a/src/gladecroft/lab/simulation.py
+++ b/src/gladecroft/lab/simulation.py
@@ -26,7 +26,7 @@
 )
 from gladecroft.protocol import wire
 from gladecroft.protocol.settings import OperatorSettings, PlatformSettings
-from gladecroft.service import SIBLINGS_ASK
+from gladecroft.service import PEER_REQUESTS
 
 START = datetime(2026, 1, 1, tzinfo=UTC)
 TICK = timedelta(milliseconds=100)
@@ -197,7 +197,7 @@
         assert self.state is not None and self.cloud is not None
         if call.target is Target.PEER:
             peer = self.peers[call.addr]
-            verb = SIBLINGS_ASK[call.path]
+            verb = PEER_REQUESTS[call.path]
 
             def back(result: Reply) -> None:
                 self.world.send(peer.name, self.name, lambda: answer(result.status, result.body))
--- a/src/gladecroft/policies/__init__.py
+++ b/src/gladecroft/policies/__init__.py
@@ -4,18 +4,18 @@
 
 from collections.abc import Iterable
 
-from gladecroft.policies.cordon import Cordon
-from gladecroft.policies.engine import Panel
+from gladecroft.policies.cordon import CordonPolicy
+from gladecroft.policies.engine import PolicyEngine
 from gladecroft.policies.interface import Policy
 
 #: The policies that operators may switch on, by the name in their settings.
-KNOWN: dict[str, type[Policy]] = {Cordon.subject: Cordon}
+KNOWN: dict[str, type[Policy]] = {CordonPolicy.subject: CordonPolicy}
 
 
-def switched_on(names: Iterable[str]) -> Panel | None:
+def build_policy_engine(names: Iterable[str]) -> PolicyEngine | None:
     """The panel of these policies; None if there are none, so that the core can tell at one look."""
     policies = [KNOWN[name]() for name in names]
-    return Panel(policies) if policies else None
+    return PolicyEngine(policies) if policies else None
 
 
-__all__ = ["KNOWN", "Panel", "Policy", "switched_on"]
+__all__ = ["KNOWN", "PolicyEngine", "Policy", "build_policy_engine"]
--- a/src/gladecroft/policies/cordon.py
+++ b/src/gladecroft/policies/cordon.py
@@ -12,17 +12,17 @@
 import msgspec
 
 from gladecroft.bookkeeping.job import Job
-from gladecroft.policies.interface import Place, Policy
+from gladecroft.policies.interface import MachineAttributes, Policy
 from gladecroft.protocol.operators import CordonInfo, CordonRequest, CordonScope, format_until
 
 #: So many cordons at the most; one for a whole type or zone does for many machines.
-MOST = 500
+MAX_CORDONS = 500
 
 
 class CordonRecord(CordonInfo, frozen=True, omit_defaults=True):
     """A cordon as it is kept."""
 
-    def over(self, now: datetime) -> bool:
+    def is_expired(self, now: datetime) -> bool:
         return 0 < self.until_s <= now.timestamp()
 
     def sentence(self) -> str:
@@ -30,11 +30,11 @@
         why = f" ({self.why})" if self.why else ""
         return f"{self.scope.value} {self.name} takes nothing new{format_until(self.until_s)}{why}"
 
-    def shuts(self, place: Place) -> bool:
+    def matches(self, place: MachineAttributes) -> bool:
         return (self.scope, self.name) in _names(place)
 
 
-def _names(place: Place) -> tuple[tuple[CordonScope, str], ...]:
+def _names(place: MachineAttributes) -> tuple[tuple[CordonScope, str], ...]:
     """All that a cordon may call a machine by."""
     return (CordonScope.MACHINE, place.name), (CordonScope.TYPE, place.type), (CordonScope.ZONE, place.zone)
 
@@ -44,11 +44,11 @@
     return f"{scope.value}.{blake2b(name.encode(), digest_size=12).hexdigest()}"
 
 
-def record_of(order: CordonRequest, now: datetime) -> CordonRecord:
+def make_record(order: CordonRequest, now: datetime) -> CordonRecord:
     return CordonRecord(order.scope, order.name, order.why, order.by, int(now.timestamp()), order.until_s)
 
 
-class Cordon(Policy):
+class CordonPolicy(Policy):
     subject = "cordon"
 
     def __init__(self) -> None:
@@ -67,9 +67,9 @@
         self.records.clear()
         self._by_name.clear()
 
-    def filter(self, job: Job | None, place: Place, now: datetime) -> str | None:
+    def filter(self, job: Job | None, place: MachineAttributes, now: datetime) -> str | None:
         for key in _names(place):
             record = self._by_name.get(key)
-            if record is not None and not record.over(now):
+            if record is not None and not record.is_expired(now):
                 return record.sentence()
         return None
--- a/src/gladecroft/policies/engine.py
+++ b/src/gladecroft/policies/engine.py
@@ -18,7 +18,7 @@
 
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import CapacityPool
-from gladecroft.policies.interface import Demand, Drain, Hold, Place, Policy
+from gladecroft.policies.interface import CapacityDemand, Drain, Hold, MachineAttributes, Policy
 from gladecroft.protocol.operators import format_utc
 
 log = logging.getLogger(__name__)
@@ -31,7 +31,7 @@
 LONGEST_HOLD = timedelta(hours=24)
 
 
-class Panel:
+class PolicyEngine:
     """``watch`` gives the seconds of a clock that only goes forward, for the time that policies take."""
 
     def __init__(
@@ -45,22 +45,22 @@
             raise ValueError("a policy stands twice")
         self.now = datetime.fromtimestamp(0, UTC)
         #: Questions asked of each policy, and rounds in which it was dropped.
-        self.asked: Counter[str] = Counter()
-        self.dropped: Counter[str] = Counter()
+        self.query_counts: Counter[str] = Counter()
+        self.suspension_counts: Counter[str] = Counter()
         self._watch = watch
         self._most = round_time.total_seconds()
         self._out: set[str] = set()
         self._spent: dict[str, float] = {}
-        self._shut: dict[Place, str] = {}
+        self._shut: dict[MachineAttributes, str] = {}
         # Only those are asked that have something to say at all.
         self._holds = _with_a_say(policies, "hold")
         self._filters = _with_a_say(policies, "filter")
         self._scores = _with_a_say(policies, "score")
         self._demands = _with_a_say(policies, "demand")
         self._drains = _with_a_say(policies, "drain")
-        self._drained: dict[Place, Drain | None] = {}
+        self._drained: dict[MachineAttributes, Drain | None] = {}
 
-    def begin(self, now: datetime) -> None:
+    def begin_round(self, now: datetime) -> None:
         """A new round: all are heard again."""
         self.now = now
         self._out.clear()
@@ -72,7 +72,7 @@
         subject = policy.subject
         if subject in self._out:
             return nothing
-        self.asked[subject] += 1
+        self.query_counts[subject] += 1
         began = self._watch()
         try:
             answer = question()
@@ -89,15 +89,15 @@
 
     def _drop(self, subject: str, why: str) -> None:
         self._out.add(subject)
-        self.dropped[subject] += 1
+        self.suspension_counts[subject] += 1
         # Powers of two: a policy that fails each round must not fill the log.
-        count = self.dropped[subject]
+        count = self.suspension_counts[subject]
         if count & (count - 1) == 0:
             log.error("policy %s is not heard in this round (%d so far): %s", subject, count, why)
 
     # Questions -----------------------------------------------------------------------------------------------
 
-    def hold(self, job: Job) -> str | None:
+    def hold_reason(self, job: Job) -> str | None:
         """Why the job's tasks may not start yet, or None."""
         latest: Hold | None = None
         whose = ""
@@ -110,23 +110,25 @@
         until = min(latest.until, self.now + LONGEST_HOLD)
         return f"{whose}: {latest.why}; at the latest {format_utc(until)}"
 
-    def shut(self, name: str, pool: CapacityPool) -> str | None:
+    def exclusion_reason(self, name: str, pool: CapacityPool) -> str | None:
         """Why a machine takes nothing new, whatever the job; None if it does."""
         if not self._filters:
             return None
-        place = Place.of(name, pool)
+        place = MachineAttributes.from_pool(name, pool)
         known = self._shut.get(place)
         if known is None:
             known = self._shut[place] = self._refusal(None, place, by_job=False) or ""
         return known or None
 
-    def refusal(self, job: Job, name: str, pool: CapacityPool) -> str | None:
+    def rejection_reason(self, job: Job, name: str, pool: CapacityPool) -> str | None:
         """Why a machine may not take a job; None if all agree that it may."""
         if not self._filters:
             return None
-        return self.shut(name, pool) or self._refusal(job, Place.of(name, pool), by_job=True)
+        return self.exclusion_reason(name, pool) or self._refusal(
+            job, MachineAttributes.from_pool(name, pool), by_job=True
+        )
 
-    def _refusal(self, job: Job | None, place: Place, by_job: bool) -> str | None:
+    def _refusal(self, job: Job | None, place: MachineAttributes, by_job: bool) -> str | None:
         for policy in self._filters:
             if policy.by_job is by_job:
                 said = self._ask(policy, partial(policy.filter, job, place, self.now), None, _is_reason)
@@ -137,28 +139,28 @@
     def score(self, job: Job, name: str, pool: CapacityPool) -> float:
         if not self._scores:
             return 0.0
-        place = Place.of(name, pool)
+        place = MachineAttributes.from_pool(name, pool)
         return sum(
             self._ask(policy, partial(policy.score, job, place, self.now), 0.0, _is_score) for policy in self._scores
         )
 
-    def by_job(self) -> bool:
+    def is_job_specific(self) -> bool:
         """Whether a machine may be shut to one job and open to another."""
         return bool(self._drains) or any(policy.by_job for policy in self._filters)
 
-    def holds(self) -> bool:
+    def has_holds(self) -> bool:
         """Whether any policy has a say in when jobs start."""
         return bool(self._holds)
 
-    def drains(self) -> bool:
+    def has_drains(self) -> bool:
         """Whether any policy has machines emptied."""
         return bool(self._drains)
 
-    def demand(self) -> list[Demand]:
+    def capacity_demands(self) -> list[CapacityDemand]:
         """For each type and zone the largest room that any policy asks for."""
-        largest: dict[tuple[str, str], Demand] = {}
+        largest: dict[tuple[str, str], CapacityDemand] = {}
         for policy in self._demands:
-            nothing: list[Demand] = []
+            nothing: list[CapacityDemand] = []
             for each in self._ask(policy, partial(policy.demand, self.now), nothing, _are_demands):
                 known = largest.get((each.type, each.zone))
                 if known is None or each.cpus > known.cpus:
@@ -169,20 +171,20 @@
         """By when, at the earliest that any policy says, a machine is to be empty."""
         if not self._drains:
             return None
-        place = Place.of(name, pool)
+        place = MachineAttributes.from_pool(name, pool)
         if place in self._drained:
             return self._drained[place]
         earliest: Drain | None = None
         for policy in self._drains:
             said = self._ask(policy, partial(policy.drain, place, self.now), None, _is_drain)
-            if said is not None and (earliest is None or said.by < earliest.by):
-                earliest = Drain(said.by, said.grace, f"{policy.subject}: {said.why}")
+            if said is not None and (earliest is None or said.deadline < earliest.deadline):
+                earliest = Drain(said.deadline, said.checkpoint_grace, f"{policy.subject}: {said.reason}")
         self._drained[place] = earliest
         return earliest
 
     # Records -------------------------------------------------------------------------------------------------
 
-    def take(self, subject: str, name: str, value: bytes | None) -> None:
+    def update_record(self, subject: str, name: str, value: bytes | None) -> None:
         """A record of a policy has changed. Of policies that are not switched on nothing is kept."""
         policy = self.policies.get(subject)
         if policy is None:
@@ -193,7 +195,7 @@
             # Raised on, it would lose what else came with the same news.
             self._drop(subject, f"can't take its record {name}: {type(error).__name__}: {error}")
 
-    def forget(self) -> None:
+    def clear_records(self) -> None:
         for policy in self.policies.values():
             policy.forget()
 
@@ -216,12 +218,17 @@
 
 def _are_demands(said: object) -> bool:
     return isinstance(said, list) and all(
-        isinstance(each, Demand) and 0 <= each.cpus < math.inf and _aware(each.at) for each in said
+        isinstance(each, CapacityDemand) and 0 <= each.cpus < math.inf and _aware(each.needed_at) for each in said
     )
 
 
 def _is_drain(said: object) -> bool:
-    return said is None or isinstance(said, Drain) and _aware(said.by) and isinstance(said.grace, timedelta)
+    return (
+        said is None
+        or isinstance(said, Drain)
+        and _aware(said.deadline)
+        and isinstance(said.checkpoint_grace, timedelta)
+    )
 
 
 def _with_a_say(policies: Sequence[Policy], question: str) -> list[Policy]:
--- a/src/gladecroft/policies/interface.py
+++ b/src/gladecroft/policies/interface.py
@@ -14,7 +14,7 @@
 from gladecroft.bookkeeping.records import CapacityPool
 
 
-class Place(msgspec.Struct, frozen=True):
+class MachineAttributes(msgspec.Struct, frozen=True):
     """A machine, or one that is yet to be rented (no name)."""
 
     name: str
@@ -23,8 +23,8 @@
     spot: bool
 
     @staticmethod
-    def of(name: str, pool: CapacityPool) -> Place:
-        return Place(name, *pool)
+    def from_pool(name: str, pool: CapacityPool) -> MachineAttributes:
+        return MachineAttributes(name, *pool)
 
 
 class Hold(msgspec.Struct, frozen=True):
@@ -34,15 +34,15 @@
     why: str
 
 
-class Demand(msgspec.Struct, frozen=True):
+class CapacityDemand(msgspec.Struct, frozen=True):
     """Room that is to be there at an instant: so many cores on machines of a type and zone ("": any)."""
 
     cpus: float
-    at: datetime
+    needed_at: datetime
     type: str = ""
     zone: str = ""
 
-    def suits(self, type: str, zone: str) -> bool:
+    def matches(self, type: str, zone: str) -> bool:
         """Whether machines of this type in this zone count."""
         return self.type in ("", type) and self.zone in ("", zone)
 
@@ -50,9 +50,9 @@
 class Drain(msgspec.Struct, frozen=True):
     """A machine is to be empty by an instant. What can save gets ``grace`` for it before."""
 
-    by: datetime
-    grace: timedelta
-    why: str
+    deadline: datetime
+    checkpoint_grace: timedelta
+    reason: str
 
 
 class Policy:
@@ -67,19 +67,19 @@
         """May the job's tasks start now? If not, why, and until when at the latest."""
         return None
 
-    def filter(self, job: Job | None, place: Place, now: datetime) -> str | None:
+    def filter(self, job: Job | None, place: MachineAttributes, now: datetime) -> str | None:
         """Why the machine may not take the job (None: whichever); None if it may."""
         return None
 
-    def score(self, job: Job, place: Place, now: datetime) -> float:
+    def score(self, job: Job, place: MachineAttributes, now: datetime) -> float:
         """How well the machine suits the job, among those that the design ranks equal. The least is the best."""
         return 0.0
 
-    def demand(self, now: datetime) -> list[Demand]:
+    def demand(self, now: datetime) -> list[CapacityDemand]:
         """Room that is to exist."""
         return []
 
-    def drain(self, place: Place, now: datetime) -> Drain | None:
+    def drain(self, place: MachineAttributes, now: datetime) -> Drain | None:
         """Is the machine to be emptied, and by when?"""
         return None
 
--- a/src/gladecroft/service.py
+++ b/src/gladecroft/service.py
@@ -40,7 +40,7 @@
 WATCH_WAIT = timedelta(seconds=10)
 CONNECT_LIMIT = timedelta(seconds=1)
 ANSWER_LIMIT = timedelta(seconds=4.5)
-SIBLINGS_ASK = {
+PEER_REQUESTS = {
     peers.ENDED_ATTEMPTS_PATH: RequestKind.ATTEMPTS_ENDED,
     peers.REPORTED_MACHINES_PATH: RequestKind.MACHINES_REPORTED,
     peers.REPORTING_MACHINES_PATH: RequestKind.QUERY_REPORTING,
@@ -54,7 +54,7 @@
     return ClockReading(timedelta(seconds=time.monotonic()), datetime.now(UTC))
 
 
-class Service:
+class ControllerService:
     def __init__(self, platform: PlatformSettings, operator_settings: OperatorSettings) -> None:
         self.platform = platform
         self.core = Core(platform, operator_settings)
@@ -208,7 +208,7 @@
 
     async def _handle_peer(self, request: Request) -> Response:
         path = urlsplit(request.path).path
-        told = SIBLINGS_ASK.get(path)
+        told = PEER_REQUESTS.get(path)
         if told is not None:
             return await self._ask(told, request.body) if request.method == "POST" else _wrong_method("POST")
         if path == operators.CORDONS_PATH:
--- a/src/gladecroft/toolbox/controller_client.py
+++ b/src/gladecroft/toolbox/controller_client.py
@@ -14,22 +14,22 @@
 
 from gladecroft.protocol.settings import SettingsError, parse_address
 from gladecroft.protocol.wire import ErrorReply
-from gladecroft.transport.client import Answer, Client
+from gladecroft.transport.client import Client, ClientResponse
 
 REFUSED = 1
-BAD_INPUT = 2
+EXIT_BAD_INPUT = 2
 UNREACHABLE = 3
 #: Between two rounds through all the controllers.
 PAUSE = 0.5
 
 
-def fail(code: int, why: str) -> NoReturn:
+def exit_with_error(code: int, why: str) -> NoReturn:
     """End with one clear line and this exit code."""
     click.echo(f"gladecroft: {why}", err=True)
     sys.exit(code)
 
 
-def said(answer: Answer) -> str:
+def said(answer: ClientResponse) -> str:
     """What a refusal says, in words."""
     try:
         return msgspec.json.decode(answer.body, type=ErrorReply).error
@@ -43,10 +43,10 @@
     try:
         addrs = [(node, parse_address(node, "--node")) for node in nodes]
     except SettingsError as error:
-        fail(BAD_INPUT, str(error))
+        exit_with_error(EXIT_BAD_INPUT, str(error))
     until = time.monotonic() + wait.total_seconds()
 
-    async def once(addr: tuple[str, int]) -> Answer:
+    async def once(addr: tuple[str, int]) -> ClientResponse:
         return await Client(1, timedelta(seconds=3)).request(addr, method, path, body, timedelta(seconds=6))
 
     last = ""
@@ -61,7 +61,7 @@
             elif answer.status in (429, 503):
                 last, code = f"{node} can't take it now: {said(answer)}", REFUSED
             else:
-                fail(REFUSED, f"{node} refuses: {said(answer)}")
+                exit_with_error(REFUSED, f"{node} refuses: {said(answer)}")
         if time.monotonic() >= until:
-            fail(code, last)
+            exit_with_error(code, last)
         time.sleep(PAUSE)
--- a/src/gladecroft/toolbox/cordon.py
+++ b/src/gladecroft/toolbox/cordon.py
@@ -11,7 +11,7 @@
 
 from gladecroft.protocol import operators
 from gladecroft.protocol.operators import CordonList, CordonRequest, CordonScope
-from gladecroft.toolbox.controller_client import BAD_INPUT, ask, fail
+from gladecroft.toolbox.controller_client import EXIT_BAD_INPUT, ask, exit_with_error
 from gladecroft.toolbox.options import as_json_option, node_option, wait_option
 
 UNITS = {"s": 1, "m": 60, "h": 3600, "d": 86400}
@@ -65,7 +65,7 @@
     """Shut a machine, all machines of a TYPE, or a zone."""
     now = datetime.now(UTC)
     if length is not None and until is not None:
-        fail(BAD_INPUT, "give --for or --until, not both")
+        exit_with_error(EXIT_BAD_INPUT, "give --for or --until, not both")
     end: datetime | None = None
     try:
         if length is not None:
@@ -73,9 +73,9 @@
         elif until is not None:
             end = instant(until, now)
     except (ValueError, OverflowError) as error:
-        fail(BAD_INPUT, f"{'--for' if length is not None else '--until'}: {error}")
+        exit_with_error(EXIT_BAD_INPUT, f"{'--for' if length is not None else '--until'}: {error}")
     if end is not None and end <= now:
-        fail(BAD_INPUT, f"the cordon would be over already: it is {now:%Y-%m-%d %H:%M} UTC")
+        exit_with_error(EXIT_BAD_INPUT, f"the cordon would be over already: it is {now:%Y-%m-%d %H:%M} UTC")
     until_s = 0 if end is None else int(end.timestamp())
     try:
         by = getpass.getuser()
@@ -100,7 +100,7 @@
     try:
         msgspec.json.decode(body, type=CordonRequest)
     except msgspec.ValidationError as error:
-        fail(BAD_INPUT, str(error))
+        exit_with_error(EXIT_BAD_INPUT, str(error))
     ask(nodes, "POST", operators.CORDONS_PATH, body, timedelta(seconds=wait))
     if as_json:
         click.echo(body.decode())
--- a/src/gladecroft/transport/client.py
+++ b/src/gladecroft/transport/client.py
@@ -18,7 +18,7 @@
 MAX_KEPT_TARGETS = 256
 
 
-class Answer(msgspec.Struct):
+class ClientResponse(msgspec.Struct):
     """``status`` 0: no response, and the request may have been executed; -1: it was certainly not sent."""
 
     status: int
@@ -29,7 +29,7 @@
 UNKNOWN = 0
 
 
-class _Link:
+class _Connection:
     __slots__ = ("stream", "conn")
 
     def __init__(self, stream: anyio.abc.SocketStream) -> None:
@@ -37,11 +37,11 @@
         self.conn = h11.Connection(h11.CLIENT)
 
 
-class _Target:
+class _AddressPool:
     __slots__ = ("idle", "limit")
 
     def __init__(self, size: int) -> None:
-        self.idle: deque[_Link] = deque()
+        self.idle: deque[_Connection] = deque()
         self.limit = anyio.CapacityLimiter(size)
 
 
@@ -51,23 +51,23 @@
     def __init__(self, per_target: int, connect_limit: timedelta) -> None:
         self._per_target = per_target
         self._connect_limit = connect_limit.total_seconds()
-        self._targets: dict[tuple[str, int], _Target] = {}
+        self._targets: dict[tuple[str, int], _AddressPool] = {}
 
     async def request(
         self, addr: tuple[str, int], method: str, path: str, body: bytes | None, limit: timedelta
-    ) -> Answer:
+    ) -> ClientResponse:
         target = self._targets.get(addr)
         if target is None:
             await self._trim()
-            target = self._targets.setdefault(addr, _Target(self._per_target))
+            target = self._targets.setdefault(addr, _AddressPool(self._per_target))
         sent = False
         with anyio.move_on_after(limit.total_seconds()):
             async with target.limit:
-                link: _Link | None = None
+                link: _Connection | None = None
                 try:
                     link = await self._link(target, addr)
                     if link is None:
-                        return Answer(NOT_SENT)
+                        return ClientResponse(NOT_SENT)
                     sent = True
                     answer = await _exchange(link, addr, method, path, body)
                     if link.conn.our_state is h11.DONE and link.conn.their_state is h11.DONE:
@@ -76,17 +76,17 @@
                         link = None
                     return answer
                 except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream):
-                    return Answer(UNKNOWN if sent else NOT_SENT)
+                    return ClientResponse(UNKNOWN if sent else NOT_SENT)
                 except h11.ProtocolError as error:
                     log.debug("bad response from %s: %s", addr, error)
-                    return Answer(UNKNOWN)
+                    return ClientResponse(UNKNOWN)
                 finally:
                     if link is not None:
                         with anyio.CancelScope(shield=True):
                             await anyio.aclose_forcefully(link.stream)
-        return Answer(UNKNOWN if sent else NOT_SENT)
+        return ClientResponse(UNKNOWN if sent else NOT_SENT)
 
-    async def _link(self, target: _Target, addr: tuple[str, int]) -> _Link | None:
+    async def _link(self, target: _AddressPool, addr: tuple[str, int]) -> _Connection | None:
         while target.idle:
             link = target.idle.pop()
             # A server may have closed an idle connection; its end shows as readable data.
@@ -95,7 +95,7 @@
             await anyio.aclose_forcefully(link.stream)
         try:
             with anyio.fail_after(self._connect_limit):
-                return _Link(await anyio.connect_tcp(*addr))
+                return _Connection(await anyio.connect_tcp(*addr))
         except (OSError, TimeoutError):
             return None
 
@@ -103,7 +103,7 @@
         """Close what is kept for addresses not in use (machines come and go)."""
         if len(self._targets) < MAX_KEPT_TARGETS:
             return
-        stale: list[_Link] = []
+        stale: list[_Connection] = []
         for addr, target in list(self._targets.items()):
             if target.limit.borrowed_tokens == 0:
                 stale += target.idle
@@ -112,7 +112,7 @@
             await anyio.aclose_forcefully(link.stream)
 
 
-def _still_open(link: _Link) -> bool:
+def _still_open(link: _Connection) -> bool:
     # The stream reads only when asked to, so the end of the stream, or data nobody asked for, waits in the kernel.
     raw = link.stream.extra(anyio.abc.SocketAttribute.raw_socket)
     if raw.fileno() < 0:
@@ -131,7 +131,9 @@
     return h11.Request(method=method, target=path, headers=headers)
 
 
-async def _exchange(link: _Link, addr: tuple[str, int], method: str, path: str, body: bytes | None) -> Answer:
+async def _exchange(
+    link: _Connection, addr: tuple[str, int], method: str, path: str, body: bytes | None
+) -> ClientResponse:
     conn, stream = link.conn, link.stream
     data = conn.send(_head(addr, method, path, None if body is None else len(body))) or b""
     if body:
@@ -153,6 +155,6 @@
         elif isinstance(event, h11.Data):
             parts.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            return Answer(status, b"".join(parts))
+            return ClientResponse(status, b"".join(parts))
         elif not isinstance(event, h11.InformationalResponse):
-            return Answer(UNKNOWN)
+            return ClientResponse(UNKNOWN)
--- a/src/gladecroft/transport/server.py
+++ b/src/gladecroft/transport/server.py
@@ -35,7 +35,7 @@
 Handler = Callable[[Request], Awaitable[Response]]
 
 
-class BodyTooLarge(Exception):
+class BodyTooLargeError(Exception):
     """The request's body is over the limit."""
 
 
@@ -86,7 +86,7 @@
                 if conn.their_state is h11.SEND_BODY:
                     scope.deadline = anyio.current_time() + BODY_LIMIT.total_seconds()
                 body = await self._body(conn, stream, request)
-            except BodyTooLarge:
+            except BodyTooLargeError:
                 response = _plain(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
                 await _send(conn, stream, response, close=True)
                 return
@@ -106,7 +106,7 @@
     async def _body(self, conn: h11.Connection, stream: anyio.abc.SocketStream, request: h11.Request) -> bytes:
         for name, value in request.headers:
             if name == b"content-length" and int(value) > self._max_body:
-                raise BodyTooLarge
+                raise BodyTooLargeError
         if conn.they_are_waiting_for_100_continue:
             await stream.send(conn.send(h11.InformationalResponse(status_code=100, headers=[])) or b"")
         parts: list[bytes] = []
@@ -116,7 +116,7 @@
             if isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > self._max_body:
-                    raise BodyTooLarge
+                    raise BodyTooLargeError
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 return b"".join(parts)
--- a/tests/test_backlog_cost.py
+++ b/tests/test_backlog_cost.py
@@ -16,7 +16,7 @@
 from gladecroft.bookkeeping.records import TaskRecord, TaskState
 from gladecroft.bookkeeping.teams import Guarantees
 from gladecroft.bookkeeping.transaction import TransactionBuilder
-from gladecroft.coordination.fleet.packing import BinPool, PackingConstraints, RentalPlan
+from gladecroft.coordination.fleet.packing import BinIndex, PackingConstraints, RentalPlan
 from gladecroft.coordination.scheduling.pending_queue import PendingQueue
 from gladecroft.coordination.scheduling.scheduler import MAX_UNPROCESSED_CHANGES
 from gladecroft.coordination.state_writer import Outcome
@@ -245,7 +245,7 @@
         lambda job: ({}, 99),
         lambda team: 100.0,
     )
-    plan = RentalPlan(constraints, BinPool([], 1.0), 0.0, 0.0, {})
+    plan = RentalPlan(constraints, BinIndex([], 1.0), 0.0, 0.0, {})
     assert not plan.place(job("wk-1", 20, 4.0, 900.0), True)  # no machine type has that much memory
     assert plan.place(job("wk-2", 10, 4.0, 1.0), True)
     assert plan.to_rent == {("g", "a", False): 3} or plan.to_rent == {("g", "a", True): 3}
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -16,7 +16,7 @@
 from gladecroft.lab.simulation import raw
 from gladecroft.protocol import wire
 from gladecroft.protocol.settings import OperatorSettings
-from gladecroft.transport.client import Answer, Client
+from gladecroft.transport.client import Client, ClientResponse
 
 LIMIT = 60
 JOB: dict[str, Any] = {
@@ -27,7 +27,7 @@
 }  # fmt: skip
 
 
-async def to_node(lab: Lab, method: str, path: str, body: bytes | None = None) -> Answer:
+async def to_node(lab: Lab, method: str, path: str, body: bytes | None = None) -> ClientResponse:
     addr = ("127.0.0.1", int(lab.doors[0].platform.listen.rpartition(":")[2]))
     return await Client(4, timedelta(seconds=1)).request(addr, method, path, body, timedelta(seconds=5))
 
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -18,8 +18,8 @@
 from gladecroft.coordination.scheduling.placement import HighPriorityPlacer, LowPriorityPlacer, Ranking
 from gladecroft.lab.scenario import Scenario
 from gladecroft.lab.simulation import START, seconds
-from gladecroft.policies.engine import Panel
-from gladecroft.policies.interface import Demand, Drain, Hold, Place, Policy
+from gladecroft.policies.engine import PolicyEngine
+from gladecroft.policies.interface import CapacityDemand, Drain, Hold, MachineAttributes, Policy
 from gladecroft.protocol import operators, wire
 from gladecroft.protocol.operators import CordonRequest, CordonScope
 from gladecroft.protocol.settings import OperatorSettings, SettingsError, load_operator
@@ -68,16 +68,16 @@
     def hold(self, job: Job, now: datetime) -> Hold | None:
         return None
 
-    def filter(self, job: Job | None, place: Place, now: datetime) -> str | None:
+    def filter(self, job: Job | None, place: MachineAttributes, now: datetime) -> str | None:
         return None
 
-    def score(self, job: Job, place: Place, now: datetime) -> float:
+    def score(self, job: Job, place: MachineAttributes, now: datetime) -> float:
         return 0.0
 
-    def demand(self, now: datetime) -> list[Demand]:
+    def demand(self, now: datetime) -> list[CapacityDemand]:
         return []
 
-    def drain(self, place: Place, now: datetime) -> Drain | None:
+    def drain(self, place: MachineAttributes, now: datetime) -> Drain | None:
         return None
 
 
@@ -96,13 +96,13 @@
 ) -> None:
     switch(Silent)
     asked: list[str] = []
-    question = Panel._ask
+    question = PolicyEngine._ask
 
-    def counted(panel: Panel, policy: Policy, *rest: Any) -> Any:
+    def counted(policy_engine: PolicyEngine, policy: Policy, *rest: Any) -> Any:
         asked.append(policy.subject)
-        return question(panel, policy, *rest)
+        return question(policy_engine, policy, *rest)
 
-    monkeypatch.setattr(Panel, "_ask", counted)
+    monkeypatch.setattr(PolicyEngine, "_ask", counted)
     without = calls_of(DAY.format(policies=""))
     assert not asked
     assert calls_of(DAY.format(policies="silent")) == without
@@ -117,10 +117,10 @@
         def hold(self, job: Job, now: datetime) -> Hold | None:
             raise KeyError("no such tariff")
 
-        def demand(self, now: datetime) -> list[Demand]:
+        def demand(self, now: datetime) -> list[CapacityDemand]:
             return None  # type: ignore[return-value]
 
-        def filter(self, job: Job | None, place: Place, now: datetime) -> str | None:
+        def filter(self, job: Job | None, place: MachineAttributes, now: datetime) -> str | None:
             raise ZeroDivisionError
 
         def take(self, name: str, value: bytes | None) -> None:
@@ -130,12 +130,14 @@
     scenario = Scenario(DAY.format(policies="broken"), 3).run()
     assert scenario.oracle.broken == []
     assert scenario.oracle.told["wk-1"] == "done"
-    panels = [each.core.context.panel for each in scenario.controllers if each.core is not None]
-    panel = max((each for each in panels if each is not None), key=lambda each: each.dropped["broken"])
-    assert panel.dropped["broken"] > 50
-    before = panel.dropped["broken"]
-    panel.take("broken", "x", b"?")
-    assert panel.dropped["broken"] == before + 1
+    panels = [each.core.context.policy_engine for each in scenario.controllers if each.core is not None]
+    policy_engine = max(
+        (each for each in panels if each is not None), key=lambda each: each.suspension_counts["broken"]
+    )
+    assert policy_engine.suspension_counts["broken"] > 50
+    before = policy_engine.suspension_counts["broken"]
+    policy_engine.update_record("broken", "x", b"?")
+    assert policy_engine.suspension_counts["broken"] == before + 1
 
 
 def test_a_policy_that_takes_too_long_is_not_heard_for_the_rest_of_the_round() -> None:
@@ -144,17 +146,17 @@
     class Slow(Policy):
         subject = "slow"
 
-        def filter(self, job: Job | None, place: Place, now: datetime) -> str | None:
+        def filter(self, job: Job | None, place: MachineAttributes, now: datetime) -> str | None:
             at_s[0] += 0.004
             return "never"
 
-    panel = Panel([Slow()], watch=lambda: at_s[0], round_time=timedelta(milliseconds=10))
-    panel.begin(at(0))
-    said = [panel.shut(f"m-{number}", SORT) for number in range(6)]
+    policy_engine = PolicyEngine([Slow()], watch=lambda: at_s[0], round_time=timedelta(milliseconds=10))
+    policy_engine.begin_round(at(0))
+    said = [policy_engine.exclusion_reason(f"m-{number}", SORT) for number in range(6)]
     assert said == ["slow: never"] * 3 + [None] * 3
-    assert panel.asked["slow"] == 3 and panel.dropped["slow"] == 1
-    panel.begin(at(1))
-    assert panel.shut("m-5", SORT) == "slow: never"
+    assert policy_engine.query_counts["slow"] == 3 and policy_engine.suspension_counts["slow"] == 1
+    policy_engine.begin_round(at(1))
+    assert policy_engine.exclusion_reason("m-5", SORT) == "slow: never"
 
 
 def test_what_several_say_is_combined() -> None:
@@ -165,13 +167,13 @@
         def hold(self, job: Job, now: datetime) -> Hold | None:
             return Hold(at(self.until), self.subject)
 
-        def demand(self, now: datetime) -> list[Demand]:
-            return [Demand(self.cpus, at(5), "g16"), Demand(1.0, at(5), "", self.subject)]
+        def demand(self, now: datetime) -> list[CapacityDemand]:
+            return [CapacityDemand(self.cpus, at(5), "g16"), CapacityDemand(1.0, at(5), "", self.subject)]
 
-        def drain(self, place: Place, now: datetime) -> Drain | None:
+        def drain(self, place: MachineAttributes, now: datetime) -> Drain | None:
             return Drain(at(self.by), timedelta(), "disks")
 
-        def filter(self, job: Job | None, place: Place, now: datetime) -> str | None:
+        def filter(self, job: Job | None, place: MachineAttributes, now: datetime) -> str | None:
             return "barred" if place.name == self.barred else None
 
     class Other(One):
@@ -179,17 +181,21 @@
         until, cpus, by, barred = 20.0, 4.0, 40.0, "m-2"
 
     job = Job(rec.JobRecord(SPEC, 0), 1, 10)
-    panel = Panel([One(), Other()])
-    panel.begin(at(0))
-    assert (panel.hold(job) or "").startswith("other: other; at the latest")
-    assert {(each.type, each.zone): each.cpus for each in panel.demand()} == {
+    policy_engine = PolicyEngine([One(), Other()])
+    policy_engine.begin_round(at(0))
+    assert (policy_engine.hold_reason(job) or "").startswith("other: other; at the latest")
+    assert {(each.type, each.zone): each.cpus for each in policy_engine.capacity_demands()} == {
         ("g16", ""): 8.0, ("", "one"): 1.0, ("", "other"): 1.0
     }  # fmt: skip
-    drain = panel.drain("m-3", SORT)
-    assert drain is not None and drain.by == at(40) and drain.why == "other: disks"
-    assert [panel.refusal(job, name, SORT) for name in ("m-1", "m-2", "m-3")] == ["one: barred", "other: barred", None]
-    panel.begin(at(30))
-    assert panel.hold(job) is None  # a hold that is over holds nobody
+    drain = policy_engine.drain("m-3", SORT)
+    assert drain is not None and drain.deadline == at(40) and drain.reason == "other: disks"
+    assert [policy_engine.rejection_reason(job, name, SORT) for name in ("m-1", "m-2", "m-3")] == [
+        "one: barred",
+        "other: barred",
+        None,
+    ]
+    policy_engine.begin_round(at(30))
+    assert policy_engine.hold_reason(job) is None  # a hold that is over holds nobody
 
 
 def test_a_held_job_starts_when_the_hold_ends_and_its_user_is_told_why(switch: Switch) -> None:
@@ -213,8 +219,8 @@
     class Market(Policy):
         subject = "opening"
 
-        def demand(self, now: datetime) -> list[Demand]:
-            return [Demand(40.0, at(100), "", "b")] if now < at(140) else []
+        def demand(self, now: datetime) -> list[CapacityDemand]:
+            return [CapacityDemand(40.0, at(100), "", "b")] if now < at(140) else []
 
     switch(Market)
     scenario = Scenario("set policies=opening\nteam t cpus=16 max=64\ntype g16 cpus=16 memory=64 boot=15\nrun 60", 3)
@@ -233,7 +239,7 @@
     class Disks(Policy):
         subject = "disks"
 
-        def drain(self, place: Place, now: datetime) -> Drain | None:
+        def drain(self, place: MachineAttributes, now: datetime) -> Drain | None:
             soon = place.name == "m-000001" and now >= at(30)
             return Drain(at(90), timedelta(seconds=20), "new disks") if soon else None
 
@@ -264,7 +270,7 @@
     class Last(Policy):
         subject = "last"
 
-        def score(self, job: Job, place: Place, now: datetime) -> float:
+        def score(self, job: Job, place: MachineAttributes, now: datetime) -> float:
             return -float(place.name[-1])
 
     switch(Last)
@@ -330,9 +336,11 @@
         made.core.step(clock_at(made.now_s + 0.1), [CallResult(commit.call_id, 200, wire.encode(wire.TxnReply(100)))])
     )
     assert [each.status for each in effects if isinstance(each, Reply)] == [200]
-    panel = made.core.context.panel
+    policy_engine = made.core.context.policy_engine
     assert (
-        panel is not None and (panel.shut("m-7", ("x", "a", True)) or "") == "cordon: zone a takes nothing new (disks)"
+        policy_engine is not None
+        and (policy_engine.exclusion_reason("m-7", ("x", "a", True)) or "")
+        == "cordon: zone a takes nothing new (disks)"
     )
 
 
@@ -384,8 +392,8 @@
     assert [(each.name, each.machines) for each in shown] == [("m-1", 1), ("a", 1), ("nowhere", 0)]
     # Read from nothing again, the lifted ones are forgotten.
     made.core.context.cluster_state.reset()
-    panel = made.core.context.panel
-    assert panel is not None and panel.shut("m-1", ("g", "a", False)) is None
+    policy_engine = made.core.context.policy_engine
+    assert policy_engine is not None and policy_engine.exclusion_reason("m-1", ("g", "a", False)) is None
 
 
 def test_unknown_policies_are_refused_with_file_and_key(tmp_path: Path) -> None:
