--- a/src/gladecroft/lab/__init__.py
+++ b/src/gladecroft/lab/__init__.py
@@ -1,4 +1,4 @@
-"""A cluster to try things on: stand-ins for all that a controller speaks to, and an oracle of the rules.
+"""A cluster for tests and trials: simulated counterparts of everything that a controller talks to, and a rule checker.
 
-Nothing of the daemon imports it.
+The service itself does not import this package.
 """
--- a/src/gladecroft/lab/bound.py
+++ b/src/gladecroft/lab/bound.py
@@ -1,14 +1,16 @@
-"""How many arrays the best order could have had done in time, with the room there was.
+"""Computes an upper bound on the share of arrays that any scheduling order could have finished in time.
 
     python -m gladecroft.lab.bound LOG [CLASS] [SECONDS...]
 
-LOG holds what the controllers of a day have written at level ``info``. From it come, for each array of the class, when
-it was accepted, how long its tasks held room in all, and when it was over; and for each instant how many tasks held
-room. Arrays may then be given that room in any order, knowing all that is to come. The most that can be done within a
-span is an integer programme; it is solved as such (HiGHS, by way of SciPy) to within one array in a hundred. It is an
-upper bound for any order: tasks count as alike in cores, may be split in time, and need no image twice. A second bound
-gives the arrays the most room that ever was, from the start: what lies between the two is machines that came late, and
-changes.
+LOG holds a day's log lines of the controllers at level ``info``. They tell when each array of the class was accepted,
+how long its tasks held capacity in total and when it finished, and how many tasks held capacity at each instant. The
+bound assigns this capacity to the arrays in any order, with knowledge of all arrivals. The largest number of arrays
+that can finish within a span of their acceptance is an integer programme, solved by HiGHS through SciPy to a relative
+gap of 1 %.
+
+It is an upper bound for any order: all tasks count as equal in cores, may be split in time, and load their image
+once. A second bound assumes the highest capacity of the day from the start. The difference between the two comes from
+machines that were added late and from changes (operations in commits).
 """
 
 from __future__ import annotations
@@ -24,130 +26,139 @@
 from scipy.optimize import Bounds, LinearConstraint, milp
 from scipy.sparse import coo_array
 
-LINE = re.compile(r"(\d{4}-\d\d-\d\d \d\d:\d\d:\d\d,\d{3}) INFO gladecroft\.\S+: (.*)")
+LOG_LINE = re.compile(r"(\d{4}-\d\d-\d\d \d\d:\d\d:\d\d,\d{3}) INFO gladecroft\.\S+: (.*)")
 ACCEPTED = re.compile(r"job (\S+): accepted, (\d+) tasks of (\S+) for (\S+)(?: with (\S+) cores for (\S+) s each)?")
 PLACED = re.compile(r"(\S+)/(\d+)#(\d+) goes to ")
 ENDED = re.compile(r"(\S+)/(\d+)#(\d+) on \S+ ended: ")
-OVER = re.compile(r"(\S+) is over: done")
-#: Room is counted by slots of so many seconds.
-SLOT = 5.0
-GAP = 0.01
+FINISHED = re.compile(r"(\S+) is over: done")
+#: Length of the time slots in which capacity is counted, in seconds.
+SLOT_S = 5.0
+MIP_RELATIVE_GAP = 0.01
 
 
-class Array(msgspec.Struct):
-    """An array: when it was accepted and over (seconds from the log's first line), and what its tasks took."""
+class LoggedJob(msgspec.Struct):
+    """A job as the log shows it; times are in seconds after the log's first line."""
 
-    accepted: float
+    accepted_at: float
     tasks: int
     job_class: str
-    over: float | None = None
-    #: Task-seconds in which its tasks held room.
+    finished_at: float | None = None
+    #: Task-seconds in which its tasks held capacity.
     work: float = 0.0
     team: str = ""
-    #: A task's cores (0: the log does not say), and its seconds by its owner's estimate (0: it is a service).
+    #: Cores of each task (0: not in the log).
     cores: float = 0.0
-    estimate: float = 0.0
+    #: Duration of each task as its owner estimates it, in seconds (0: the job is a service).
+    estimate_s: float = 0.0
 
 
-def read(lines: Iterable[str]) -> tuple[dict[str, Array], dict[str, list[tuple[float, float]]]]:
-    """The accepted jobs, and from when to when each job's attempts held room."""
-    arrays: dict[str, Array] = {}
-    begun: dict[tuple[str, str, str], float] = {}
+def read_log(lines: Iterable[str]) -> tuple[dict[str, LoggedJob], dict[str, list[tuple[float, float]]]]:
+    """Return the accepted jobs by name, and for each job the start and end of every attempt."""
+    jobs: dict[str, LoggedJob] = {}
+    placed_at: dict[tuple[str, str, str], float] = {}
     spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
-    zero: datetime | None = None
+    first_at: datetime | None = None
     now = 0.0
     for line in lines:
-        found = LINE.search(line)
-        if found is None:
+        match = LOG_LINE.search(line)
+        if match is None:
             continue
-        when = datetime.strptime(found[1], "%Y-%m-%d %H:%M:%S,%f")
-        zero = zero or when
-        now = (when - zero).total_seconds()
-        text = found[2]
+        logged_at = datetime.strptime(match[1], "%Y-%m-%d %H:%M:%S,%f")
+        first_at = first_at or logged_at
+        now = (logged_at - first_at).total_seconds()
+        text = match[2]
         if accepted := ACCEPTED.match(text):
-            arrays[accepted[1]] = Array(
+            jobs[accepted[1]] = LoggedJob(
                 now, int(accepted[2]), accepted[3], team=accepted[4],
-                cores=float(accepted[5] or 0), estimate=float(accepted[6] or 0),
+                cores=float(accepted[5] or 0), estimate_s=float(accepted[6] or 0),
             )  # fmt: skip
         elif placed := PLACED.match(text):
-            begun[placed[1], placed[2], placed[3]] = now
+            placed_at[placed[1], placed[2], placed[3]] = now
         elif ended := ENDED.match(text):
-            since = begun.pop((ended[1], ended[2], ended[3]), None)
-            if since is not None:
-                spans[ended[1]].append((since, max(now, since)))
-        elif (over := OVER.match(text)) and over[1] in arrays:
-            arrays[over[1]].over = now
-    for (job, _, _), since in begun.items():
-        # The ends of a job's last tasks come with its final state, which names no task.
-        job_over = arrays[job].over if job in arrays else None
-        spans[job].append((since, max(since, job_over if job_over is not None else now)))
-    for name, array in arrays.items():
-        array.work = sum(until - since for since, until in spans.get(name, ()))
-    return arrays, spans
-
-
-def room(spans: Iterable[tuple[float, float]], end: float) -> np.ndarray:
-    """How many task-seconds of room were held in each slot."""
-    held = np.zeros(int(end // SLOT) + 2)
-    for since, until in spans:
-        for slot in range(int(since // SLOT), int(until // SLOT) + 1):
-            held[slot] += max(0.0, min(until, (slot + 1) * SLOT) - max(since, slot * SLOT))
-    return held
-
-
-def most_in_time(arrays: list[Array], held: np.ndarray, span: float) -> float:
-    """The share of the arrays that any order could have had done within ``span`` seconds of their acceptance."""
+            start = placed_at.pop((ended[1], ended[2], ended[3]), None)
+            if start is not None:
+                spans[ended[1]].append((start, max(now, start)))
+        elif (finished := FINISHED.match(text)) and finished[1] in jobs:
+            jobs[finished[1]].finished_at = now
+    for (job, _, _), start in placed_at.items():
+        # The exits of a job's last tasks are logged with its final state, without the tasks' numbers.
+        job_end = jobs[job].finished_at if job in jobs else None
+        spans[job].append((start, max(start, job_end if job_end is not None else now)))
+    for name, logged_job in jobs.items():
+        logged_job.work = sum(end - start for start, end in spans.get(name, ()))
+    return jobs, spans
+
+
+def capacity_per_slot(spans: Iterable[tuple[float, float]], end: float) -> np.ndarray:
+    """Return how many task-seconds the spans hold in each slot up to ``end``."""
+    capacity = np.zeros(int(end // SLOT_S) + 2)
+    for start, stop in spans:
+        for slot in range(int(start // SLOT_S), int(stop // SLOT_S) + 1):
+            capacity[slot] += max(0.0, min(stop, (slot + 1) * SLOT_S) - max(start, slot * SLOT_S))
+    return capacity
+
+
+def max_share_in_time(jobs: list[LoggedJob], capacity: np.ndarray, within_s: float) -> float:
+    """Return the largest share of the jobs that any order could have finished within a time after acceptance."""
     rows: list[int] = []
     columns: list[int] = []
     values: list[float] = []
-    upper: list[float] = []
-    count = len(arrays)
-    column = count  # first the decisions, one for each array; then its task-seconds in each slot
-    for index, array in enumerate(arrays):
+    max_work: list[float] = []
+    count = len(jobs)
+    column = count  # columns: one decision per job, then the task-seconds of each job in each slot
+    for index, job in enumerate(jobs):
         rows.append(index)
         columns.append(index)
-        values.append(-array.work)
-        for slot in range(int(array.accepted // SLOT), min(int((array.accepted + span) // SLOT) + 1, len(held))):
-            overlap = min(array.accepted + span, (slot + 1) * SLOT) - max(array.accepted, slot * SLOT)
+        values.append(-job.work)
+        for slot in range(
+            int(job.accepted_at // SLOT_S), min(int((job.accepted_at + within_s) // SLOT_S) + 1, len(capacity))
+        ):
+            overlap = min(job.accepted_at + within_s, (slot + 1) * SLOT_S) - max(job.accepted_at, slot * SLOT_S)
             rows += [index, count + slot]
             columns += [column, column]
             values += [1.0, 1.0]
-            upper.append(array.tasks * max(0.0, overlap))
+            max_work.append(job.tasks * max(0.0, overlap))
             column += 1
-    matrix = coo_array((values, (rows, columns)), shape=(count + len(held), column)).tocsr()
-    low = np.concatenate([np.zeros(count), np.full(len(held), -np.inf)])
-    high = np.concatenate([np.full(count, np.inf), held])
-    solved = milp(
+    matrix = coo_array((values, (rows, columns)), shape=(count + len(capacity), column)).tocsr()
+    lower_limits = np.concatenate([np.zeros(count), np.full(len(capacity), -np.inf)])
+    upper_limits = np.concatenate([np.full(count, np.inf), capacity])
+    solution = milp(
         c=np.concatenate([np.full(count, -1.0), np.zeros(column - count)]),
-        constraints=LinearConstraint(matrix, low, high),
+        constraints=LinearConstraint(matrix, lower_limits, upper_limits),
         integrality=np.concatenate([np.ones(count), np.zeros(column - count)]),
-        bounds=Bounds(np.zeros(column), np.concatenate([np.ones(count), upper])),
-        options={"mip_rel_gap": GAP, "time_limit": 120},
+        bounds=Bounds(np.zeros(column), np.concatenate([np.ones(count), max_work])),
+        options={"mip_rel_gap": MIP_RELATIVE_GAP, "time_limit": 120},
     )
-    if solved.mip_dual_bound is None:
-        raise RuntimeError(f"no bound was found: {solved.message}")
-    return min(1.0, -float(solved.mip_dual_bound) / count)
+    if solution.mip_dual_bound is None:
+        raise RuntimeError(f"the solver found no bound: {solution.message}")
+    return min(1.0, -float(solution.mip_dual_bound) / count)
 
 
 def main() -> None:
+    """Print the share of arrays that finished in time beside both bounds."""
     if len(sys.argv) < 2:
-        sys.exit("bound.py LOG [CLASS] [SECONDS...]")
+        sys.exit("usage: python -m gladecroft.lab.bound LOG [CLASS] [SECONDS...]")
     with open(sys.argv[1], encoding="utf-8", errors="replace") as lines:
-        arrays, spans = read(lines)
+        jobs, spans = read_log(lines)
     job_class = sys.argv[2] if len(sys.argv) > 2 else "reconciliation"
-    chosen = {name: array for name, array in arrays.items() if array.job_class == job_class and array.work > 0}
-    if not chosen:
-        sys.exit(f"bound.py: no array of class {job_class} in {sys.argv[1]}")
-    end = max(until for each in spans.values() for _, until in each)
-    held = room([span for name in chosen for span in spans[name]], end)
-    full = np.full(len(held), held.max())
-    print(f"{len(chosen)} arrays of {job_class}, at most {held.max() / SLOT:.0f} tasks at once (simulated)")
-    print(f"{'done within':>12}{'reached':>10}{'best order':>12}{'most room always':>18}")
-    for span in [float(word) for word in sys.argv[3:]] or [70.0, 120.0]:
-        listed = list(chosen.values())
-        reached = sum(each.over is not None and each.over - each.accepted <= span for each in listed) / len(listed)
-        best, most = most_in_time(listed, held, span), most_in_time(listed, full, span)
-        print(f"{span:>10.0f} s{reached:>10.3f}{best:>12.3f}{most:>18.3f}")
+    selected = {name: job for name, job in jobs.items() if job.job_class == job_class and job.work > 0}
+    if not selected:
+        sys.exit(f"bound: no array of class {job_class} in {sys.argv[1]}")
+    end = max(end for job_spans in spans.values() for _, end in job_spans)
+    capacity = capacity_per_slot([span for name in selected for span in spans[name]], end)
+    max_capacity = np.full(len(capacity), capacity.max())
+    print(f"{len(selected)} arrays of {job_class}, at most {capacity.max() / SLOT_S:.0f} tasks at once (simulated)")
+    print(f"{'finished in':>12}{'reached':>10}{'best order':>12}{'max capacity':>18}")
+    for within_s in [float(word) for word in sys.argv[3:]] or [70.0, 120.0]:
+        selected_jobs = list(selected.values())
+        reached = sum(
+            job.finished_at is not None and job.finished_at - job.accepted_at <= within_s for job in selected_jobs
+        ) / len(selected_jobs)
+        best, best_at_max = (
+            max_share_in_time(selected_jobs, capacity, within_s),
+            max_share_in_time(selected_jobs, max_capacity, within_s),
+        )
+        print(f"{within_s:>10.0f} s{reached:>10.3f}{best:>12.3f}{best_at_max:>18.3f}")
 
 
 if __name__ == "__main__":
--- a/src/gladecroft/lab/cloud.py
+++ b/src/gladecroft/lab/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud as PROTOCOL describes it, in virtual time: machines that boot, run out, fail and are taken."""
+"""A simulated cloud, as PROTOCOL describes it: limited capacity, boot times and a machine list that lags behind."""
 
 from __future__ import annotations
 
@@ -9,98 +9,113 @@
 
 import msgspec
 
-from gladecroft.lab.simulation import CloudLike, Replier, World, raw, seconds
-from gladecroft.lab.worker import Kind, Worker
+from gladecroft.lab.simulation import CloudServer, ReplyCallback, Simulation, encode_json, seconds
+from gladecroft.lab.worker import SimulatedMachineType, SimulatedWorker
 
 Json = dict[str, Any]
 
 
-class Cloud(CloudLike):
-    def __init__(self, world: World, kinds: dict[str, Kind], capacity: dict[tuple[str, str, bool], int]) -> None:
-        self.world = world
-        self.kinds = kinds
+class SimulatedCloud(CloudServer):
+    """Rents machines and takes them back. ``capacity`` counts the machines that are free per type, zone and spot or
+    not."""
+
+    def __init__(
+        self,
+        sim: Simulation,
+        machine_types: dict[str, SimulatedMachineType],
+        capacity: dict[tuple[str, str, bool], int],
+    ) -> None:
+        self.sim = sim
+        self.machine_types = machine_types
         self.capacity = capacity
-        self.bookings: dict[str, list[str]] = {}
-        self.machines: dict[str, Worker] = {}
-        self.rented: dict[str, timedelta] = {}
-        self.next = 1
+        self.rentals_by_key: dict[str, list[str]] = {}
+        self.machines: dict[str, SimulatedWorker] = {}
+        self.rented_at: dict[str, timedelta] = {}
+        self.next_number = 1
         self.outage = False
-        self.never_boot = 0.0
-        #: Until when machines are up within two seconds.
-        self.quick_until = world.now
-        self.new_worker: Callable[[str, Kind, str, bool], Worker]
-        self.rentals = 0
-        self.lag = seconds(4)
-        self.history: list[tuple[timedelta, list[Json]]] = []
-        self._snapshot()
+        #: Probability that a rented machine never boots.
+        self.boot_failure_rate = 0.0
+        #: Machines rented before this time are up within two seconds.
+        self.fast_boot_until = sim.now
+        self.new_worker: Callable[[str, SimulatedMachineType, str, bool], SimulatedWorker]
+        self.rental_count = 0
+        #: Mean age of the machine list that is returned.
+        self.list_lag = seconds(4)
+        self.list_history: list[tuple[timedelta, list[Json]]] = []
+        self._record_list()
 
-    def _snapshot(self) -> None:
+    def _record_list(self) -> None:
         rows = [
             {
-                "nameId": name, "endpoint": worker.addr, "flavor": worker.kind.name, "district": worker.zone,
+                "nameId": name, "endpoint": worker.addr, "flavor": worker.machine_type.name, "district": worker.zone,
                 "leftovers": worker.spot,
                 "status": "failed" if worker.failed else "running" if worker.up else "starting",
-                "ageS": (self.world.now - self.rented[name]).total_seconds(),
+                "ageS": (self.sim.now - self.rented_at[name]).total_seconds(),
             }
             for name, worker in sorted(self.machines.items())
         ]  # fmt: skip
-        self.history.append((self.world.now, rows))
-        self.history = self.history[-40:]
-        self.world.later(seconds(0.5), self._snapshot)
+        self.list_history.append((self.sim.now, rows))
+        self.list_history = self.list_history[-40:]
+        self.sim.call_later(seconds(0.5), self._record_list)
 
-    def serve(self, node: str, method: str, path: str, body: bytes, reply: Replier) -> None:
+    def serve(self, node: str, method: str, path: str, body: bytes, reply: ReplyCallback) -> None:
+        """Answer a request of a controller."""
         url = urlsplit(path)
         if self.outage:
-            reply(503, raw({"error": "trouble"}))
+            reply(503, encode_json({"error": "trouble"}))
         elif url.path == "/machine_types":
             rows = []
-            for kind in self.kinds.values():
-                zones = sorted({zone for name, zone, _ in self.capacity if name == kind.name})
+            for machine_type in self.machine_types.values():
+                zones = sorted({zone for name, zone, _ in self.capacity if name == machine_type.name})
                 rows.append({
-                    "label": kind.name, "cores": kind.cpus, "cards": 0, "memoryGb": kind.memory, "cacheGb": 50,
-                    "pullGbPerS": 1.0, "rate": kind.price, "marketPrice": kind.spot_price, "bootS": kind.boot_s,
-                    "districts": zones,
+                    "label": machine_type.name, "cores": machine_type.cpus, "cards": 0,
+                    "memoryGb": machine_type.memory, "cacheGb": 50, "pullGbPerS": 1.0, "rate": machine_type.price,
+                    "marketPrice": machine_type.spot_price, "bootS": machine_type.boot_s, "districts": zones,
                 })  # fmt: skip
-            reply(200, raw({"flavors": rows}))
+            reply(200, encode_json({"flavors": rows}))
         elif url.path == "/hosts/return":
             for name in msgspec.json.decode(body)["hearths"]:
                 self.remove(name)
             reply(200, b"{}")
         elif method == "POST":
-            self._rent(msgspec.json.decode(body), reply)
+            self._handle_rent(msgspec.json.decode(body), reply)
         else:
-            past = self.world.now - self.lag * self.world.random.uniform(0.5, 1.5)
-            rows = next((rows for at, rows in reversed(self.history) if at <= past), [])
-            reply(200, raw({"hearths": rows, "truncated": False}))
+            listed_at = self.sim.now - self.list_lag * self.sim.rng.uniform(0.5, 1.5)
+            rows = next((rows for time, rows in reversed(self.list_history) if time <= listed_at), [])
+            reply(200, encode_json({"hearths": rows, "truncated": False}))
 
-    def _rent(self, want: Json, reply: Replier) -> None:
-        if want["booking"] not in self.bookings:
-            key = (want["flavor"], want["district"], want["leftovers"])
-            count = min(want["number"], self.capacity.get(key, 0))
+    def _handle_rent(self, request: Json, reply: ReplyCallback) -> None:
+        if request["booking"] not in self.rentals_by_key:
+            key = (request["flavor"], request["district"], request["leftovers"])
+            count = min(request["number"], self.capacity.get(key, 0))
             if count == 0:
-                reply(503, raw({"error": "no capacity"}))
+                reply(503, encode_json({"error": "no capacity"}))
                 return
             self.capacity[key] -= count
-            self.bookings[want["booking"]] = [self.rent(*key) for _ in range(count)]
-        reply(200, raw({"hearths": self.bookings[want["booking"]]}))
+            self.rentals_by_key[request["booking"]] = [self.rent(*key) for _ in range(count)]
+        reply(200, encode_json({"hearths": self.rentals_by_key[request["booking"]]}))
 
-    def rent(self, kind: str, zone: str, spot: bool, boot: timedelta | None = None) -> str:
-        name = f"m-{self.next:06d}"
-        self.next += 1
-        self.rentals += 1
-        worker = self.new_worker(name, self.kinds[kind], zone, spot)
+    def rent(self, machine_type: str, zone: str, spot: bool, boot: timedelta | None = None) -> str:
+        """Start a machine and return its name. With ``boot`` it boots for certain, after exactly that time."""
+        name = f"m-{self.next_number:06d}"
+        self.next_number += 1
+        self.rental_count += 1
+        worker = self.new_worker(name, self.machine_types[machine_type], zone, spot)
         self.machines[name] = worker
-        self.rented[name] = self.world.now
-        if boot is None and self.world.random.random() < self.never_boot:
+        self.rented_at[name] = self.sim.now
+        if boot is None and self.sim.rng.random() < self.boot_failure_rate:
             return name
-        span = seconds(self.kinds[kind].boot_s * self.world.random.uniform(0.6, 1.5)) if boot is None else boot
-        if boot is None and self.world.now < self.quick_until:
-            span = seconds(self.world.random.uniform(0.2, 2.0))
-        self.world.later(span, worker.boot)
+        boot_time = (
+            seconds(self.machine_types[machine_type].boot_s * self.sim.rng.uniform(0.6, 1.5)) if boot is None else boot
+        )
+        if boot is None and self.sim.now < self.fast_boot_until:
+            boot_time = seconds(self.sim.rng.uniform(0.2, 2.0))
+        self.sim.call_later(boot_time, worker.boot)
         return name
 
     def remove(self, name: str) -> None:
+        """Stop a machine and free its capacity; an unknown name is ignored."""
         worker = self.machines.pop(name, None)
         if worker is not None:
-            worker.die()
-            self.capacity[(worker.kind.name, worker.zone, worker.spot)] += 1
+            worker.terminate()
+            self.capacity[(worker.machine_type.name, worker.zone, worker.spot)] += 1
--- a/src/gladecroft/lab/commands.py
+++ b/src/gladecroft/lab/commands.py
@@ -1,4 +1,4 @@
-"""``gladecroft lab``: a cluster on loopback, and scenarios in virtual time."""
+"""``gladecroft lab``: runs scenarios in virtual time, or a cluster on loopback."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 import click
 import msgspec
 
-from gladecroft.lab.loopback import Lab, LabError
+from gladecroft.lab.loopback import LoopbackCluster, LoopbackError
 from gladecroft.lab.scenario import Scenario, ScenarioError
 from gladecroft.protocol.settings import OperatorSettings, SettingsError, load_operator
 from gladecroft.toolbox.controller_client import EXIT_BAD_INPUT, exit_with_error
 
-BROKEN = 1
-#: A killed controller is started again after this.
-DOWN = timedelta(seconds=3)
-#: Seconds between two jobs, at speed 1.
-JOB_EVERY_S = 1.5
-EVENTS_SHOWN = 30
+EXIT_RULE_VIOLATED = 1
+#: Downtime of a killed controller.
+RESTART_DELAY = timedelta(seconds=3)
+#: Time between two submissions at speed 1.
+JOB_INTERVAL_S = 1.5
+MAX_EVENTS_SHOWN = 30
 
 
 @click.group()
 def lab() -> None:
-    """A cluster to try things on: real sockets on loopback, or virtual time."""
+    """Run a test cluster in virtual time or on the loopback interface."""
 
 
 @lab.command()
 @click.argument("scenarios", nargs=-1, required=True, type=click.Path())
-@click.option("--seed", default=1, show_default=True, help="What is drawn at random is drawn from this.")
-@click.option("--json", "as_json", is_flag=True, help="Print the same in machine form.")
+@click.option("--seed", default=1, show_default=True, help="Seed of the random number generator.")
+@click.option("--json", "as_json", is_flag=True, help="Print the results as JSON.")
 def play(scenarios: tuple[str, ...], seed: int, as_json: bool) -> None:
-    """Play SCENARIO files in virtual time and check every rule."""
+    """Run SCENARIO files in virtual time and check every rule."""
     logging.disable(logging.CRITICAL)
-    bad = 0
+    failed = 0
     for path in scenarios:
         try:
             text = Path(path).read_text(encoding="utf-8")
@@ -49,31 +49,31 @@
         except ScenarioError as error:
             exit_with_error(EXIT_BAD_INPUT, f"{path}: {error}")
         oracle = scenario.oracle
-        good = not oracle.broken and not scenario.failures
-        bad += not good
+        good = not oracle.violations and not scenario.unmet_expectations
+        failed += not good
         if as_json:
             result = {
-                "scenario": path, "seed": seed, "good": good, "broken_rules": oracle.broken,
-                "not_as_expected": scenario.failures, "starts": len(oracle.starts),
+                "scenario": path, "seed": seed, "good": good, "broken_rules": oracle.violations,
+                "not_as_expected": scenario.unmet_expectations, "starts": len(oracle.starts),
                 "events": [] if good else list(oracle.events),
             }  # fmt: skip
             click.echo(msgspec.json.encode(result).decode())
             continue
         click.echo(f"{path}: seed {seed}: {'good' if good else 'NOT GOOD'}, {len(oracle.starts)} starts")
-        for failure in scenario.failures:
+        for failure in scenario.unmet_expectations:
             click.echo(f"  not as expected: {failure}")
-        if oracle.broken:
-            for event in list(oracle.events)[-EVENTS_SHOWN:]:
+        if oracle.violations:
+            for event in list(oracle.events)[-MAX_EVENTS_SHOWN:]:
                 click.echo(f"  {event}")
-        for broken in oracle.broken:
+        for broken in oracle.violations:
             click.echo(f"  broken rule: {broken}")
-    sys.exit(BROKEN if bad else 0)
+    sys.exit(EXIT_RULE_VIOLATED if failed else 0)
 
 
-def _span(text: str, name: str) -> tuple[float, float]:
-    at, _, span = text.partition(":")
+def _parse_window(text: str, name: str) -> tuple[float, float]:
+    start, _, duration = text.partition(":")
     try:
-        return float(at), float(span)
+        return float(start), float(duration)
     except ValueError:
         exit_with_error(EXIT_BAD_INPUT, f"{name}: expected AT:FOR in seconds, such as 20:30, got {text!r}")
 
@@ -81,15 +81,17 @@
 @lab.command()
 @click.option("--for", "length", type=click.FloatRange(1), help="Seconds to run. Default: until Ctrl-C.")
 @click.option("--controllers", default=3, show_default=True, type=click.IntRange(1, 9))
-@click.option("--speed", default=1.0, show_default=True, type=click.FloatRange(0.1, 10), help="Of work and boots.")
-@click.option("--kill", "kill_every", type=click.FloatRange(4), help="End a controller every so many seconds.")
-@click.option("--outage", help="AT:FOR, the state service is away, in seconds.")
 @click.option(
-    "--port", default=0, type=click.IntRange(0, 65000), help="First port of the controllers. Default: free ones."
+    "--speed", default=1.0, show_default=True, type=click.FloatRange(0.1, 10), help="Factor for run and boot times."
 )
-@click.option("--properties", type=str, help="Operators' settings for the controllers.")
+@click.option("--kill", "kill_every", type=click.FloatRange(4), help="Kill a controller every so many seconds.")
+@click.option("--outage", help="Begin and duration of a state service outage in seconds, as AT:FOR.")
+@click.option(
+    "--port", default=0, type=click.IntRange(0, 65000), help="First port of the controllers. Default: any free ports."
+)
+@click.option("--properties", type=str, help="File with operator settings for the controllers.")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--json", "as_json", is_flag=True, help="Print a line of JSON each second instead of a table.")
+@click.option("--json", "as_json", is_flag=True, help="Print a line of JSON per second instead of a table.")
 def up(
     length: float | None,
     controllers: int,
@@ -101,71 +103,85 @@
     seed: int,
     as_json: bool,
 ) -> None:
-    """Start a cluster on loopback, submit a small load, and show it."""
-    away = None if outage is None else _span(outage, "--outage")
+    """Start a cluster on loopback, submit a small load and show its state."""
+    outage_window = None if outage is None else _parse_window(outage, "--outage")
     try:
-        operator = load_operator(properties)
-    except SettingsError as wrong:
-        exit_with_error(EXIT_BAD_INPUT, str(wrong))
+        operator_settings = load_operator(properties)
+    except SettingsError as settings_error:
+        exit_with_error(EXIT_BAD_INPUT, str(settings_error))
     logging.disable(logging.CRITICAL)
-    show: Any = _Lines() if as_json else _table()
-    made = Lab(seed, controllers, speed, port)
+    display: Any = _JsonLines() if as_json else _live_table()
+    cluster = LoopbackCluster(seed, controllers, speed, port)
     try:
-        anyio.run(_run, made, operator, length, kill_every, away, show, backend_options={"use_uvloop": True})
+        anyio.run(
+            _run_cluster,
+            cluster,
+            operator_settings,
+            length,
+            kill_every,
+            outage_window,
+            display,
+            backend_options={"use_uvloop": True},
+        )
     except KeyboardInterrupt:
         pass
     except BaseExceptionGroup as group:
-        mine = group.subgroup(LabError)
-        if mine is None:
+        cluster_errors = group.subgroup(LoopbackError)
+        if cluster_errors is None:
             raise
-        error: BaseException = mine
+        error: BaseException = cluster_errors
         while isinstance(error, BaseExceptionGroup):
             error = error.exceptions[0]
         exit_with_error(EXIT_BAD_INPUT, str(error))
     finally:
-        show.close()
-    last = made.snapshot()
+        display.close()
+    last = cluster.snapshot()
     if not as_json:
         click.echo(
             f"{last['at_s']:.0f} s: {last['jobs'].get('done', 0)} of {last['jobs']['submitted']} jobs done, "
-            f"{made.kills} controllers ended, {len(last['broken_rules'])} rules broken (seed {seed})"
+            f"{cluster.kill_count} controllers killed, {len(last['broken_rules'])} broken rules (seed {seed})"
         )
     for broken in last["broken_rules"]:
         click.echo(f"broken rule: {broken}", err=True)
-    sys.exit(BROKEN if last["broken_rules"] else 0)
+    sys.exit(EXIT_RULE_VIOLATED if last["broken_rules"] else 0)
 
 
-async def _run(
-    made: Lab,
+async def _run_cluster(
+    cluster: LoopbackCluster,
     operator_settings: OperatorSettings,
     length: float | None,
     kill_every: float | None,
-    away: tuple[float, float] | None,
-    show: Any,
+    outage_window: tuple[float, float] | None,
+    display: Any,
 ) -> None:
     async with anyio.create_task_group() as group:
-        await made.start(group, operator_settings)
-        began = time.monotonic()
-        jobs = kills = shown = 0
-        if away is not None:
-            made.world.at(timedelta(seconds=away[0]), lambda: made.state.set_outage(True))
-            made.world.at(timedelta(seconds=sum(away)), lambda: made.state.set_outage(False))
-        while length is None or time.monotonic() - began < length:
-            now = time.monotonic() - began
-            if any(door.alive for door in made.doors) and now * made.speed >= jobs * JOB_EVERY_S:
-                made.submit()
-                jobs += 1
-            if kill_every is not None and now >= (kills + 1) * kill_every:
-                await made.kill_one(operator_settings, DOWN)
-                kills += 1
-            if now >= shown:
-                show.show(made.snapshot())
-                shown += 1
+        await cluster.start(group, operator_settings)
+        started_at = time.monotonic()
+        job_count = kill_count = shown_count = 0
+        if outage_window is not None:
+            cluster.sim.call_at(timedelta(seconds=outage_window[0]), lambda: cluster.state.set_outage(True))
+            cluster.sim.call_at(timedelta(seconds=sum(outage_window)), lambda: cluster.state.set_outage(False))
+        while length is None or time.monotonic() - started_at < length:
+            now = time.monotonic() - started_at
+            if (
+                any(controller.alive for controller in cluster.controllers)
+                and now * cluster.speed >= job_count * JOB_INTERVAL_S
+            ):
+                cluster.submit()
+                job_count += 1
+            if kill_every is not None and now >= (kill_count + 1) * kill_every:
+                await cluster.kill_random_controller(operator_settings, RESTART_DELAY)
+                kill_count += 1
+            if now >= shown_count:
+                display.show(cluster.snapshot())
+                shown_count += 1
             await anyio.sleep(0.05)
         group.cancel_scope.cancel()
 
 
-class _Lines:
+class _JsonLines:
+    """Prints each snapshot as a line of JSON."""
+
     def show(self, snapshot: dict[str, Any]) -> None:
         click.echo(msgspec.json.encode(snapshot).decode())
 
@@ -173,9 +189,9 @@
         pass
 
 
-def _table() -> Any:
+def _live_table() -> Any:
     try:
-        from gladecroft.lab.live_table import Table
+        from gladecroft.lab.live_table import LiveTable
     except ImportError:
-        exit_with_error(EXIT_BAD_INPUT, "the table needs the extra: pip install 'gladecroft[lab]', or use --json")
-    return Table()
+        exit_with_error(EXIT_BAD_INPUT, "the table needs an extra: run pip install 'gladecroft[lab]', or use --json")
+    return LiveTable()
--- a/src/gladecroft/lab/growth.py
+++ b/src/gladecroft/lab/growth.py
@@ -1,12 +1,15 @@
-"""What a report, a placement, a submission and a poll cost as the fleet grows: counted, so it repeats exactly.
+"""Counts what a report, a placement, a submission and a poll cost as the number of machines grows.
 
     python -m gladecroft.lab.growth [MACHINES...]
     python -m gladecroft.lab.growth restart [SERVICES...]
 
-The first prints a table (simulated: the same minute in virtual time at each size). Steps are Python calls inside the
-core; state requests and changes are what the stand-in for the state service was asked for. Budgets grow with the fleet.
+The first form simulates the same minute of virtual time at each size and prints a table. Steps are Python calls inside
+the core; requests are those to the simulated state service, and changes are the operations in its commits. The request
+limits of the state service, the teams' limits and the load grow with the number of machines. Nothing depends on a real
+clock, so the counts repeat exactly.
 
-The second ends all controllers at once and tells what their start costs until every machine has been answered.
+The second form stops all controllers at once and prints what their restart costs until each machine has had a reply to
+one of its reports.
 """
 
 from __future__ import annotations
@@ -21,9 +24,9 @@
 
 from gladecroft.coordination.events import Event, IncomingRequest, RequestKind
 from gladecroft.lab.scenario import Scenario
-from gladecroft.lab.simulation import Controller, Replier, seconds
+from gladecroft.lab.simulation import ReplyCallback, SimulatedController, seconds
 
-FLEET = """
+FLEET_SCENARIO = """
 nodes 3
 set machine.consolidate=false
 state rps={rps} write_rps={writes} txn_ops=24
@@ -34,38 +37,43 @@
 up g16 count={half}
 up g16 zone=b count={half}
 """
-WARM, LONG = 20.0, 60.0
+WARMUP_S, MEASURED_S = 20.0, 60.0
 TEAMS = "tuv"
 
 
-class Costs:
-    """Counts per kind of work, from ``WARM`` on."""
+class CostCounters:
+    """Counts of steps, operations and state requests, kept while ``enabled`` is set.
+
+    ``steps`` and ``operations`` have the kind of the event that a controller handles as their key, such as "report".
+    """
 
     def __init__(self) -> None:
-        self.on = False
+        self.enabled = False
         self.steps: Counter[str] = Counter()
-        self.units: Counter[str] = Counter()
-        self.requests: Counter[str] = Counter()
-        #: How often each function is called.
+        self.operations: Counter[str] = Counter()
+        self.state_requests: Counter[str] = Counter()
+        #: How often each function of the core was called.
         self.calls: Counter[str] = Counter()
 
-    def table(self) -> dict[str, float]:
-        units = self.units
-        rows = {f"steps / {what}": self.steps[what] / max(1, units[what]) for what in ("report", "submit", "poll")}
-        rest = sum(self.steps.values()) - sum(self.steps[what] for what in ("report", "submit", "poll"))
-        starts = max(1, units["start"])
-        rows["other steps / start"] = rest / starts
-        rows["requests / start"] = sum(self.requests.values()) / starts
-        rows["changes / start"] = units["change"] / starts
-        rows["starts"] = units["start"]
+    def rows_per_operation(self) -> dict[str, float]:
+        """Return the printed rows: counts per operation or per started task."""
+        operations = self.operations
+        rows = {f"steps / {kind}": self.steps[kind] / max(1, operations[kind]) for kind in ("report", "submit", "poll")}
+        other_steps = sum(self.steps.values()) - sum(self.steps[kind] for kind in ("report", "submit", "poll"))
+        starts = max(1, operations["start"])
+        rows["other steps / start"] = other_steps / starts
+        rows["requests / start"] = sum(self.state_requests.values()) / starts
+        rows["changes / start"] = operations["change"] / starts
+        rows["starts"] = operations["start"]
         return rows
 
 
-def watch_controller(controller: Controller, costs: Costs) -> None:
+def instrument_controller(controller: SimulatedController, costs: CostCounters) -> None:
+    """Count the steps and the events of a controller's core in ``costs``."""
     core = controller.core
     assert core is not None
-    take, step = core._handle_event, core.step
-    names = {RequestKind.REPORT: "report", RequestKind.SUBMIT: "submit", RequestKind.POLL: "poll"}
+    handle_event, step = core._handle_event, core.step
+    kinds = {RequestKind.REPORT: "report", RequestKind.SUBMIT: "submit", RequestKind.POLL: "poll"}
     current = ["tick"]
 
     def profile(frame: FrameType, event: str, arg: Any) -> None:
@@ -73,17 +81,17 @@
             costs.steps[current[0]] += 1
             costs.calls[frame.f_code.co_qualname] += 1
 
-    def taken(event: Event) -> None:
-        what = names.get(event.kind, "asked") if isinstance(event, IncomingRequest) else type(event).__name__
-        costs.units[what] += costs.on
-        current[0] = what
+    def counted_handle_event(event: Event) -> None:
+        kind = kinds.get(event.kind, "asked") if isinstance(event, IncomingRequest) else type(event).__name__
+        costs.operations[kind] += costs.enabled
+        current[0] = kind
         try:
-            take(event)
+            handle_event(event)
         finally:
             current[0] = "tick"
 
-    def stepped(clock: Any, events: list[Event]) -> Any:
-        if not costs.on:
+    def counted_step(clock: Any, events: list[Event]) -> Any:
+        if not costs.enabled:
             return step(clock, events)
         sys.setprofile(profile)
         try:
@@ -91,51 +99,56 @@
         finally:
             sys.setprofile(None)
 
-    core._handle_event, core.step = taken, stepped  # type: ignore[method-assign]
+    core._handle_event, core.step = counted_handle_event, counted_step  # type: ignore[method-assign]
+
 
+def measure_load(machines: int) -> CostCounters:
+    """Return the costs of one minute with this number of machines.
 
-def measure(machines: int) -> Costs:
-    """One minute of a fleet of this size: arrays of ten tasks, services of four, and their users' polls."""
-    share = machines / 60
-    text = FLEET.format(half=machines // 2, cpus=16 * machines, rps=int(200 * share) + 100, writes=int(50 * share) + 50)
+    The load consists of arrays of ten tasks, services of four tasks, and polls of their users.
+    """
+    scale = machines / 60
+    text = FLEET_SCENARIO.format(
+        half=machines // 2, cpus=16 * machines, rps=int(200 * scale) + 100, writes=int(50 * scale) + 50
+    )
     scenario = Scenario(text, 1).run()
-    scenario.world.run_until(seconds(3))
-    costs = Costs()
+    scenario.sim.run_until(seconds(3))
+    costs = CostCounters()
     for controller in scenario.controllers:
-        watch_controller(controller, costs)
+        instrument_controller(controller, costs)
     serve = scenario.state.serve
 
-    def served(node: str, method: str, path: str, body: bytes, reply: Replier) -> None:
-        if costs.on:
-            costs.requests[path.split("?")[0].split("/")[1]] += 1
+    def counted_serve(node: str, method: str, path: str, body: bytes, reply: ReplyCallback) -> None:
+        if costs.enabled:
+            costs.state_requests[path.split("?")[0].split("/")[1]] += 1
             if path == "/commit":
-                costs.units["change"] += len(msgspec.json.decode(body).get("apply") or ())
+                costs.operations["change"] += len(msgspec.json.decode(body).get("apply") or ())
         serve(node, method, path, body, reply)
 
-    scenario.state.serve = served  # type: ignore[method-assign]
+    scenario.state.serve = counted_serve  # type: ignore[method-assign]
     number = 0
-    every = 1.0 / share
-    at = 4.0
-    while at < WARM + LONG:
+    interval_s = 1.0 / scale
+    submit_at_s = 4.0
+    while submit_at_s < WARMUP_S + MEASURED_S:
         team = f"team={TEAMS[number % 3]}"
-        what = ["kind=service", "tasks=4", "spread=yes"] if number % 4 == 0 else ["tasks=10", "run=15"]
-        words = ["submit", f"wk-{number}", team, "cpus=2", *what]
-        scenario.world.at(seconds(at), partial(scenario._do, words))
+        options = ["kind=service", "tasks=4", "spread=yes"] if number % 4 == 0 else ["tasks=10", "run=15"]
+        words = ["submit", f"wk-{number}", team, "cpus=2", *options]
+        scenario.sim.call_at(seconds(submit_at_s), partial(scenario._perform, words))
         if number % 4 == 0:
-            gone = ["cancel", f"wk-{number}"]
-            scenario.world.at(seconds(at + 25), partial(scenario._do, gone))
+            cancel_words = ["cancel", f"wk-{number}"]
+            scenario.sim.call_at(seconds(submit_at_s + 25), partial(scenario._perform, cancel_words))
         number += 1
-        at += every
-    scenario.world.run_until(seconds(WARM))
-    costs.on = True
-    before = len(scenario.oracle.starts)
-    scenario.world.run_until(seconds(WARM + LONG))
-    costs.units["start"] = len(scenario.oracle.starts) - before
-    assert scenario.oracle.broken == []
+        submit_at_s += interval_s
+    scenario.sim.run_until(seconds(WARMUP_S))
+    costs.enabled = True
+    starts_before = len(scenario.oracle.starts)
+    scenario.sim.run_until(seconds(WARMUP_S + MEASURED_S))
+    costs.operations["start"] = len(scenario.oracle.starts) - starts_before
+    assert scenario.oracle.violations == []
     return costs
 
 
-RESTART = """
+RESTART_SCENARIO = """
 nodes 3
 set machine.consolidate=false
 state rps=600 write_rps=200 txn_ops=24
@@ -147,55 +160,61 @@
 
 
 def measure_restart(services: int) -> dict[str, float]:
-    """All controllers end and start again with so many services of four tasks unfinished, and as many jobs over."""
-    scenario = Scenario(RESTART.format(half=-(-services // 5)), 1).run()
+    """Return the costs of restarting all controllers with this number of unfinished services.
+
+    Each service has four tasks, and there are as many finished jobs.
+    """
+    scenario = Scenario(RESTART_SCENARIO.format(half=-(-services // 5)), 1).run()
     for number in range(services):
         words = ["submit", f"wk-{number}", "team=t", "kind=service", "tasks=4", "cpus=1", "spread=yes"]
-        scenario.world.at(seconds(2 + number * 0.05), partial(scenario._do, words))
-    settled = 2 + services * 0.05 + 80  # what went back for being idle at first is rented again
-    scenario.world.run_until(seconds(settled))
+        scenario.sim.call_at(seconds(2 + number * 0.05), partial(scenario._perform, words))
+    settled_at_s = 2 + services * 0.05 + 80  # machines that were returned as idle before have been rented again
+    scenario.sim.run_until(seconds(settled_at_s))
     for number in range(services):
         scenario.state.revision += 1
-        scenario.state.keys[f"g/f/wk-9{number:06d}"] = ({"done": True, "tasks": 3}, scenario.state.revision, None)
-    starts = len(scenario.oracle.starts)
-    asked: Counter[str] = Counter()
+        scenario.state.entries[f"g/f/wk-9{number:06d}"] = ({"done": True, "tasks": 3}, scenario.state.revision, None)
+    starts_before = len(scenario.oracle.starts)
+    counts: Counter[str] = Counter()
     serve = scenario.state.serve
 
-    def served(node: str, method: str, path: str, body: bytes, reply: Replier) -> None:
-        asked["pages" if "?prefix=" in path else "other requests"] += 1
+    def counted_serve(node: str, method: str, path: str, body: bytes, reply: ReplyCallback) -> None:
+        counts["pages" if "?prefix=" in path else "other requests"] += 1
         if path == "/commit":
-            asked["changes"] += len(msgspec.json.decode(body).get("apply") or ())
+            counts["changes"] += len(msgspec.json.decode(body).get("apply") or ())
 
-        def counted(status: int, answer: bytes) -> None:
-            asked["bytes"] += len(answer)
-            reply(status, answer)
+        def counted_reply(status: int, response: bytes) -> None:
+            counts["bytes"] += len(response)
+            reply(status, response)
 
-        serve(node, method, path, body, counted)
+        serve(node, method, path, body, counted_reply)
 
-    scenario.state.serve = served  # type: ignore[method-assign]
-    scenario._do(["crash", "all", "for=5"])
-    began = scenario.world.elapsed() + 5
-    scenario.world.run_until(seconds(began))
-    answered: set[str] = set()
+    scenario.state.serve = counted_serve  # type: ignore[method-assign]
+    scenario._perform(["crash", "all", "for=5"])
+    started_at_s = scenario.sim.elapsed() + 5
+    scenario.sim.run_until(seconds(started_at_s))
+    replied: set[str] = set()
     rows: dict[str, float] = {}
     machines = set(scenario.cloud.machines)
-    while len(answered) < len(machines):
-        scenario.world.run_until(seconds(scenario.world.elapsed() + 0.05))
+    while len(replied) < len(machines):
+        scenario.sim.run_until(seconds(scenario.sim.elapsed() + 0.05))
         for controller in scenario.controllers:
             if controller.core is not None:
-                answered |= {each.id for each in controller.core.machine_manager.machines.values() if each.answered_at}
-        if answered and "s to the first answer" not in rows:
-            rows["s to the first answer"] = scenario.world.elapsed() - began
-        assert scenario.world.elapsed() < began + 60
-    rows["s to the last"] = scenario.world.elapsed() - began
-    rows |= {what: asked[what] for what in ("pages", "other requests", "changes", "bytes")}
-    rows["tasks begun anew"] = len(scenario.oracle.starts) - starts
-    assert starts == 4 * services
-    assert scenario.oracle.broken == []
+                replied |= {
+                    machine.id for machine in controller.core.machine_manager.machines.values() if machine.answered_at
+                }
+        if replied and "s to the first reply" not in rows:
+            rows["s to the first reply"] = scenario.sim.elapsed() - started_at_s
+        assert scenario.sim.elapsed() < started_at_s + 60
+    rows["s to the last reply"] = scenario.sim.elapsed() - started_at_s
+    rows |= {name: counts[name] for name in ("pages", "other requests", "changes", "bytes")}
+    rows["tasks begun anew"] = len(scenario.oracle.starts) - starts_before
+    assert starts_before == 4 * services
+    assert scenario.oracle.violations == []
     return rows
 
 
 def main_restart(sizes: list[int]) -> None:
+    """Print the costs of a restart for each number of services."""
     tables = [measure_restart(size) for size in sizes]
     print(f"{'services':24}" + "".join(f"{size:>12}" for size in sizes))
     for row in tables[0]:
@@ -203,18 +222,22 @@
 
 
 def main() -> None:
+    """Print the table that the command line asks for."""
     if sys.argv[1:2] == ["restart"]:
         main_restart([int(word) for word in sys.argv[2:]] or [100, 200, 400])
         return
     sizes = [int(word) for word in sys.argv[1:]] or [60, 120, 180, 240]
-    all_costs = [measure(size) for size in sizes]
-    tables = [costs.table() for costs in all_costs]
+    all_costs = [measure_load(size) for size in sizes]
+    tables = [costs.rows_per_operation() for costs in all_costs]
     print(f"{'':24}" + "".join(f"{size:>12}" for size in sizes))
     for row in tables[0]:
         print(f"{row:24}" + "".join(f"{table[row]:>12.2f}" for table in tables))
-    print("calls / start of the functions that are called most:")
+    print("calls / start of the functions with the most calls:")
     for name, _ in all_costs[-1].calls.most_common(18):
-        print(f"{name[-46:]:46}" + "".join(f"{costs.calls[name] / costs.units['start']:>10.1f}" for costs in all_costs))
+        print(
+            f"{name[-46:]:46}"
+            + "".join(f"{costs.calls[name] / costs.operations['start']:>10.1f}" for costs in all_costs)
+        )
 
 
 if __name__ == "__main__":
--- a/src/gladecroft/lab/live_table.py
+++ b/src/gladecroft/lab/live_table.py
@@ -1,4 +1,4 @@
-"""The lab's live table, by ``rich``; on what is no terminal a line a second."""
+"""Shows snapshots of the loopback cluster: a live table by ``rich``, or one line each if stdout is no terminal."""
 
 from __future__ import annotations
 
@@ -8,10 +8,12 @@
 from rich.columns import Columns
 from rich.console import Console, Group
 from rich.live import Live
-from rich.table import Table as Grid
+from rich.table import Table
 
 
-class Table:
+class LiveTable:
+    """Shows one snapshot after another."""
+
     def __init__(self) -> None:
         self._console = Console()
         self._live = Live(console=self._console, auto_refresh=False)
@@ -19,41 +21,44 @@
             self._live.start()
 
     def show(self, snapshot: dict[str, Any]) -> None:
+        """Replace the table, or print a line."""
         if self._console.is_terminal:
-            self._live.update(_drawn(snapshot), refresh=True)
+            self._live.update(_render(snapshot), refresh=True)
         else:
             jobs = ", ".join(f"{count} {state}" for state, count in snapshot["jobs"].items())
-            roles = " ".join(f"{each['name']}={each['role']}" for each in snapshot["controllers"])
+            roles = " ".join(f"{row['name']}={row['role']}" for row in snapshot["controllers"])
             tasks, machines = snapshot["tasks"]["running"], len(snapshot["machines"])
             print(f"{snapshot['at_s']:6.1f} s  jobs: {jobs}; {tasks} tasks on {machines} machines; {roles}", flush=True)
 
     def close(self) -> None:
+        """Leave the last table on the screen and restore the terminal."""
         self._live.stop()
 
 
-def _drawn(snapshot: dict[str, Any]) -> Group:
-    jobs = _grid("jobs", "state", "jobs")
+def _render(snapshot: dict[str, Any]) -> Group:
+    jobs = _new_table("jobs", "state", "jobs")
     for state, count in snapshot["jobs"].items():
         jobs.add_row(state, str(count))
-    machines = _grid(f"machines ({snapshot['booting']} booting)", "name", "type", "zone", "spot", "tasks")
-    for each in snapshot["machines"]:
-        machines.add_row(each["name"], each["type"], each["zone"], "yes" if each["spot"] else "", str(each["tasks"]))
-    controllers = _grid("controllers", "name", "role", "epoch", "machines", "starts", "peer address")
-    for each in snapshot["controllers"]:
+    machines = _new_table(f"machines ({snapshot['booting']} booting)", "name", "type", "zone", "spot", "tasks")
+    for row in snapshot["machines"]:
+        machines.add_row(row["name"], row["type"], row["zone"], "yes" if row["spot"] else "", str(row["tasks"]))
+    controllers = _new_table("controllers", "name", "role", "epoch", "machines", "starts", "peer address")
+    for row in snapshot["controllers"]:
         controllers.add_row(
-            each["name"], each["role"], str(each["epoch"] or ""), str(each["machines"]), str(each["lives"]),
-            each["peer_address"],
+            row["name"], row["role"], str(row["epoch"] or ""), str(row["machines"]), str(row["lives"]),
+            row["peer_address"],
         )  # fmt: skip
-    broken = len(snapshot["broken_rules"])
-    line = (
+    violations = len(snapshot["broken_rules"])
+    summary = (
         f"{snapshot['at_s']:.0f} s   state service {snapshot['state_service']}   "
-        f"{snapshot['tasks']['running']} tasks run   {snapshot['kills']} controllers ended   {broken} rules broken"
+        f"{snapshot['tasks']['running']} tasks running   {snapshot['kills']} controllers killed   "
+        f"{violations} broken rules"
     )
-    return Group(line, Columns([jobs, machines]), controllers, "Ctrl-C ends the lab")
+    return Group(summary, Columns([jobs, machines]), controllers, "Ctrl-C stops the cluster")
 
 
-def _grid(title: str, *columns: str) -> Grid:
-    grid = Grid(title=title, box=box.SIMPLE, title_justify="left")
+def _new_table(title: str, *columns: str) -> Table:
+    table = Table(title=title, box=box.SIMPLE, title_justify="left")
     for column in columns:
-        grid.add_column(column)
-    return grid
+        table.add_column(column)
+    return table
--- a/src/gladecroft/lab/oracle.py
+++ b/src/gladecroft/lab/oracle.py
@@ -1,4 +1,7 @@
-"""Checks PROTOCOL's rules as things happen."""
+"""Checks the rules of PROTOCOL while a scenario runs.
+
+Simulated machines and users report what they observe to ``Oracle``, which records each violation of a rule.
+"""
 
 from __future__ import annotations
 
@@ -12,203 +15,242 @@
 from gladecroft.coordination.events import RequestKind
 
 Json = dict[str, Any]
-Key = tuple[str, int]
+#: A job's name and the number of one of its tasks.
+TaskKey = tuple[str, int]
 
 
-EVENTS_KEPT = 200
-#: Once all troubles are over, a job about which no question is answered for so many seconds is forgotten.
-FORGOTTEN_S = 75.0
-#: As long may work wait then where there is room, looked at so often.
-LEFT_WAITING_S = 90.0
-LOOK_EVERY_S = 2.0
-#: The states in which a job remains.
-FINAL = ("done", "aborted")
+MAX_EVENTS = 200
+#: How long requests about an accepted job may stay unanswered after the last failure.
+MAX_UNANSWERED_S = 75.0
+#: How long a job may stay pending while free capacity fits it, after the last failure.
+MAX_PLACEABLE_WAIT_S = 90.0
+PLACEABLE_CHECK_INTERVAL_S = 2.0
+#: States that a job never leaves.
+FINAL_STATES = ("done", "aborted")
 
 
 class Oracle:
+    """Records the task starts and the users' requests and responses of a scenario, and the rules they violate.
+
+    ``limits`` holds each team's limit in cores. A task may run for ``cancel_s`` after its job's cancellation has been
+    confirmed to the user.
+    """
+
     def __init__(self, jobs: dict[str, Json], limits: dict[str, float], cancel_s: float, now: Callable[[], float]):
         self.jobs = jobs
         self.limits = limits
         self.cancel_s = cancel_s
         self.now = now
-        self.broken: list[str] = []
-        #: What has happened lately, in words, for whoever looks for the cause of a broken rule.
-        self.events: deque[str] = deque(maxlen=EVENTS_KEPT)
-        self.where: dict[Key, dict[str, tuple[str, str, bool]]] = {}
+        self.violations: list[str] = []
+        #: The latest events as text, to find the cause of a violation.
+        self.events: deque[str] = deque(maxlen=MAX_EVENTS)
+        #: For each task, the machines on which it runs with their type, their zone and whether they are spot machines.
+        self.running_on: dict[TaskKey, dict[str, tuple[str, str, bool]]] = {}
+        #: The zone of each machine on which a task has started.
         self.zones: dict[str, str] = {}
-        self.starts: list[tuple[float, Key, str, int]] = []
-        #: Those of them that came after their user had been told that the job is cancelled.
-        self.starts_after_cancel: list[tuple[float, Key, str, int]] = []
-        #: Jobs that can't run, or lack a field: nobody may accept them. What is called with each job's end.
+        #: Each start of a task: time, task, machine and attempt.
+        self.starts: list[tuple[float, TaskKey, str, int]] = []
+        #: Starts after the cancellation of the job was confirmed to its user.
+        self.starts_after_cancel: list[tuple[float, TaskKey, str, int]] = []
+        #: Jobs that cannot run or lack a field: no controller may accept them.
         self.impossible: set[str] = set()
-        self.on_done: list[Callable[[str], None]] = []
-        #: Called with each good answer about a job: its verb and the state it told.
-        self.on_answer: list[Callable[[str, RequestKind, str], None]] = []
-        #: Which waiting jobs a machine has room for, and since when.
-        self.waiting_with_room: Callable[[], set[str]] = set
-        self._waits_since: dict[str, float] = {}
-        self._looked_at = 0.0
-        self.done: dict[str, set[int]] = {}
-        self.told: dict[str, str] = {}
-        #: When each user was first told that the job is accepted; its final state and when that was first told.
-        self.accepted: dict[str, float] = {}
-        self.final: dict[str, tuple[str, float]] = {}
+        #: Called with the name of each job whose tasks have all completed.
+        self.on_job_done: list[Callable[[str], None]] = []
+        #: Called with the job, the request kind and the reported state of each successful response.
+        self.on_response: list[Callable[[str, RequestKind, str], None]] = []
+        #: Returns the pending jobs that fit into the free capacity.
+        self.find_placeable_jobs: Callable[[], set[str]] = set
+        self._placeable_since: dict[str, float] = {}
+        self._placeable_checked_at = 0.0
+        #: The numbers of each job's completed tasks.
+        self.completed_tasks: dict[str, set[int]] = {}
+        #: The state last reported to the user of each job.
+        self.reported_state: dict[str, str] = {}
+        #: When each job's acceptance was first reported to its user.
+        self.accepted_at: dict[str, float] = {}
+        #: The final state of each job, and when it was first reported.
+        self.final_state: dict[str, tuple[str, float]] = {}
         self.submitted: set[str] = set()
-        self.cancel_wanted: set[str] = set()
-        self.cancelled_at: dict[str, float] = {}
+        self.cancel_requested: set[str] = set()
+        #: When each cancellation was confirmed to the user.
+        self.cancel_confirmed_at: dict[str, float] = {}
+        #: When the last task of each job completed.
         self.done_at: dict[str, float] = {}
-        #: When the last trouble ends; for each job since when its questions go unanswered, and the longest such time.
-        self.calm_from = 0.0
-        self.silent_since: dict[str, float] = {}
-        self.longest_silence: dict[str, float] = {}
+        #: When the last injected failure ends.
+        self.failures_end_at = 0.0
+        #: When the first request about each job was sent that has had no response since.
+        self.unanswered_since: dict[str, float] = {}
+        #: The longest time that requests about each job stayed unanswered after the last failure.
+        self.longest_unanswered_s: dict[str, float] = {}
 
-    def trouble(self, until: float) -> None:
-        """Something goes wrong, until then."""
-        self.calm_from = max(self.calm_from, until)
+    def extend_failures(self, until: float) -> None:
+        """Record that an injected failure lasts until ``until``; time limits are checked from its end."""
+        self.failures_end_at = max(self.failures_end_at, until)
 
-    def note(self, text: str) -> None:
+    def record_event(self, text: str) -> None:
+        """Add an entry to the recent events."""
         self.events.append(f"{self.now():8.1f} {text}")
 
-    def _break(self, rule: str, text: str) -> None:
-        self.broken.append(f"{rule} at {self.now():.1f}: {text}")
+    def _report_violation(self, rule: str, text: str) -> None:
+        self.violations.append(f"{rule} at {self.now():.1f}: {text}")
 
     # Machines
 
-    def on(self, key: Key, machine: str, attempt: int, kind: str, zone: str, spot: bool) -> None:
-        """A task has started on a machine."""
+    def task_started(self, key: TaskKey, machine: str, attempt: int, machine_type: str, zone: str, spot: bool) -> None:
+        """Record and check the start of a task on a machine."""
         spec = self.jobs[key[0]]
         self.starts.append((self.now(), key, machine, attempt))
         self.zones[machine] = zone
-        self.note(f"{key[0]}/{key[1]}#{attempt} starts on {machine}")
-        others = self.where.setdefault(key, {})
-        if any(name != machine for name in others):
-            self._break("ran_twice", f"{key} starts on {machine} while on {sorted(others)}")
-        others[machine] = (kind, zone, spot)
+        self.record_event(f"{key[0]}/{key[1]}#{attempt} starts on {machine}")
+        machines = self.running_on.setdefault(key, {})
+        if any(name != machine for name in machines):
+            self._report_violation("ran_twice", f"{key} starts on {machine} while running on {sorted(machines)}")
+        machines[machine] = (machine_type, zone, spot)
         self._check_quota(spec["owner"])
-        self._check_place(key[0], spec, kind, zone, spot)
+        self._check_placement(key[0], spec, machine_type, zone, spot)
         self._check_cancelled(key)
 
-    def off(self, key: Key, machine: str) -> None:
-        self.note(f"{key[0]}/{key[1]} ends on {machine}")
-        self.where.get(key, {}).pop(machine, None)
+    def task_stopped(self, key: TaskKey, machine: str) -> None:
+        """Record that a task no longer runs on a machine."""
+        self.record_event(f"{key[0]}/{key[1]} ends on {machine}")
+        self.running_on.get(key, {}).pop(machine, None)
 
-    def completed(self, key: Key) -> None:
-        done = self.done.setdefault(key[0], set())
+    def task_completed(self, key: TaskKey) -> None:
+        """Record that a task has completed successfully."""
+        done = self.completed_tasks.setdefault(key[0], set())
         done.add(key[1])
         if len(done) == self.jobs[key[0]]["portions"]:
             self.done_at.setdefault(key[0], self.now())
-            for do in self.on_done:
-                do(key[0])
+            for callback in self.on_job_done:
+                callback(key[0])
 
     def _check_quota(self, team: str) -> None:
         used = sum(
-            self.jobs[job]["cores"] * len(places)
-            for (job, _), places in self.where.items()
+            self.jobs[job]["cores"] * len(machines)
+            for (job, _), machines in self.running_on.items()
             if self.jobs[job]["owner"] == team
         )
         if used > self.limits[team] + 1e-6:
-            self._break("quota", f"{team} uses {used} of {self.limits[team]}")
+            self._report_violation("quota", f"{team} uses {used} of {self.limits[team]}")
 
-    def _check_place(self, job: str, spec: Json, kind: str, zone: str, spot: bool) -> None:
-        if spec["flavors"] is not None and kind not in spec["flavors"]:
-            self._break("wrong_place", f"{job} on type {kind}")
+    def _check_placement(self, job: str, spec: Json, machine_type: str, zone: str, spot: bool) -> None:
+        if spec["flavors"] is not None and machine_type not in spec["flavors"]:
+            self._report_violation("wrong_place", f"{job} on type {machine_type}")
         if spec["district"] is not None and zone != spec["district"]:
-            self._break("wrong_place", f"{job} in zone {zone}")
+            self._report_violation("wrong_place", f"{job} in zone {zone}")
         if spot and not spec["leftovers"]:
-            self._break("wrong_place", f"{job} on a spot machine")
-        zones = [place[1] for (name, _), places in self.where.items() if name == job for place in places.values()]
+            self._report_violation("wrong_place", f"{job} on a spot machine")
+        zones = [
+            place[1] for (name, _), machines in self.running_on.items() if name == job for place in machines.values()
+        ]
         if spec["oneZone"] and len(set(zones)) > 1:
-            self._break("wrong_place", f"{job} in zones {sorted(set(zones))}")
+            self._report_violation("wrong_place", f"{job} in zones {sorted(set(zones))}")
         if spec["apart"] and zones.count(zone) > (spec["portions"] + 1) // 2:
-            self._break("wrong_place", f"{job} has {zones.count(zone)} tasks in {zone}")
+            self._report_violation("wrong_place", f"{job} has {zones.count(zone)} tasks in {zone}")
 
-    def _check_cancelled(self, key: Key) -> None:
-        told = self.cancelled_at.get(key[0])
-        if told is None:
+    def _check_cancelled(self, key: TaskKey) -> None:
+        confirmed_at = self.cancel_confirmed_at.get(key[0])
+        if confirmed_at is None:
             return
         self.starts_after_cancel.append(self.starts[-1])
-        if self.now() - told > self.cancel_s:
-            self._break("ran_cancelled", f"{key} starts")
-
-    def sweep(self) -> None:
-        """Looked at every second: nothing of a cancelled job may be left after its time."""
-        for key, places in self.where.items():
-            told = self.cancelled_at.get(key[0])
-            if places and told is not None and self.now() - told > self.cancel_s:
-                self._break("ran_cancelled", f"{key} is still on {sorted(places)}")
-        for job in list(self.silent_since):
-            silence = self._silence(job)
-            if silence > FORGOTTEN_S and job in self.accepted and job not in self.cancel_wanted:
-                self._break("forgotten", f"no question about {job} has been answered for {silence:.0f} s")
-                del self.silent_since[job]
-        self._sweep_waiting()
-
-    def _sweep_waiting(self) -> None:
-        """Once all troubles are over, nothing waits for long while a machine that fits has room."""
+        if self.now() - confirmed_at > self.cancel_s:
+            self._report_violation("ran_cancelled", f"{key} starts")
+
+    def check_time_limits(self) -> None:
+        """Check the rules that depend on elapsed time; the harness calls this once per simulated second."""
+        for key, machines in self.running_on.items():
+            confirmed_at = self.cancel_confirmed_at.get(key[0])
+            if machines and confirmed_at is not None and self.now() - confirmed_at > self.cancel_s:
+                self._report_violation("ran_cancelled", f"{key} still runs on {sorted(machines)}")
+        for job in list(self.unanswered_since):
+            unanswered_s = self._unanswered_s(job)
+            if unanswered_s > MAX_UNANSWERED_S and job in self.accepted_at and job not in self.cancel_requested:
+                self._report_violation(
+                    "forgotten", f"no request about {job} has been answered for {unanswered_s:.0f} s"
+                )
+                del self.unanswered_since[job]
+        self._check_placeable_jobs()
+
+    def _check_placeable_jobs(self) -> None:
+        """Check that no job stays pending for long while it fits into the free capacity, once all failures are over."""
         now = self.now()
-        if now < self.calm_from:
-            self._waits_since.clear()
-        elif now - self._looked_at >= LOOK_EVERY_S:
-            self._looked_at = now
-            waiting = {
-                job for job in self.waiting_with_room() if job in self.accepted and job not in self.cancel_wanted
+        if now < self.failures_end_at:
+            self._placeable_since.clear()
+        elif now - self._placeable_checked_at >= PLACEABLE_CHECK_INTERVAL_S:
+            self._placeable_checked_at = now
+            placeable = {
+                job
+                for job in self.find_placeable_jobs()
+                if job in self.accepted_at and job not in self.cancel_requested
             }
-            for job in [job for job in self._waits_since if job not in waiting]:
-                del self._waits_since[job]
-            for job in waiting:
-                if now - self._waits_since.setdefault(job, now) > LEFT_WAITING_S:
-                    self._break("left_waiting", f"{job} has waited for {LEFT_WAITING_S:g} s where there is room")
-                    self._waits_since[job] = now
+            for job in [job for job in self._placeable_since if job not in placeable]:
+                del self._placeable_since[job]
+            for job in placeable:
+                if now - self._placeable_since.setdefault(job, now) > MAX_PLACEABLE_WAIT_S:
+                    self._report_violation(
+                        "left_waiting",
+                        f"{job} has been pending for {MAX_PLACEABLE_WAIT_S:g} s while free capacity fits it",
+                    )
+                    self._placeable_since[job] = now
 
-    def _silence(self, job: str) -> float:
-        """For how long, since all troubles are over, no question about a job has been answered."""
-        return self.now() - max(self.silent_since[job], self.calm_from)
+    def _unanswered_s(self, job: str) -> float:
+        """Return how long requests about a job have been unanswered since the last failure ended."""
+        return self.now() - max(self.unanswered_since[job], self.failures_end_at)
 
     # Users
 
     def submit_sent(self, job: str) -> None:
+        """Record that a user has sent a submission."""
         self.submitted.add(job)
 
-    def cancel_asked(self, job: str) -> None:
-        self.cancel_wanted.add(job)
+    def cancel_sent(self, job: str) -> None:
+        """Record that a user has sent a cancellation."""
+        self.cancel_requested.add(job)
+
+    def request_sent(self, job: str) -> None:
+        """Record that a user has sent a request about a job."""
+        if job in self.accepted_at:
+            self.unanswered_since.setdefault(job, self.now())
 
-    def asks(self, job: str) -> None:
-        """A question about a job is sent."""
-        if job in self.accepted:
-            self.silent_since.setdefault(job, self.now())
+    def response_received(
+        self, job: str, request_kind: RequestKind, status: int, body: bytes, sent_at: float | None = None
+    ) -> None:
+        """Record and check a response. ``sent_at`` is when its request was sent (None: now).
 
-    def answered(self, job: str, verb: RequestKind, status: int, body: bytes, sent: float | None = None) -> None:
-        """An answer has arrived. ``sent``: when its question left (None: after all that has been told). It may be older
-        than another one only if its question had left before that arrived."""
+        A response may be older than another one only if its request was sent before the other response arrived.
+        """
         now = self.now()
-        sent = now if sent is None else sent
-        if status in (400, 404, 422) and sent >= self.accepted.get(job, math.inf):
-            self._break("forgotten", f"{verb.value} of {job} answered with {status}")
+        sent_at = now if sent_at is None else sent_at
+        if status in (400, 404, 422) and sent_at >= self.accepted_at.get(job, math.inf):
+            self._report_violation("forgotten", f"{request_kind.value} of {job} got a response with status {status}")
         if status not in (200, 201):
             return
         if job in self.impossible:
-            self._break("took_impossible", f"{job} can't run or lacks a field, and {verb.value} is answered {status}")
+            self._report_violation(
+                "took_impossible",
+                f"{job} cannot run or lacks a field, but {request_kind.value} got a response with status {status}",
+            )
             return
         if job not in self.submitted:
-            self._break("invented", f"{job} was never submitted")
+            self._report_violation("invented", f"{job} was never submitted")
             return
-        self.accepted.setdefault(job, now)
-        if job in self.silent_since:
-            self.longest_silence[job] = max(self.longest_silence.get(job, 0.0), self._silence(job))
-            del self.silent_since[job]
+        self.accepted_at.setdefault(job, now)
+        if job in self.unanswered_since:
+            self.longest_unanswered_s[job] = max(self.longest_unanswered_s.get(job, 0.0), self._unanswered_s(job))
+            del self.unanswered_since[job]
         state = msgspec.json.decode(body)["status"]
-        before, told_at = self.final.get(job, ("", math.inf))
-        if before and state != before and (sent >= told_at or state in FINAL):
-            self._break("went_back", f"{job} was {before}, is called {state}")
-        if state == "aborted" and job not in self.cancel_wanted:
-            self._break("went_back", f"{job} is called cancelled")
-        if state == "done" and len(self.done.get(job, ())) < self.jobs[job]["portions"]:
-            self._break("not_done", f"{job} is called done")
+        final_state, final_at = self.final_state.get(job, ("", math.inf))
+        if final_state and state != final_state and (sent_at >= final_at or state in FINAL_STATES):
+            self._report_violation("went_back", f"{job} was {final_state}, then reported as {state}")
+        if state == "aborted" and job not in self.cancel_requested:
+            self._report_violation("went_back", f"{job} is reported as cancelled, but its user did not cancel it")
+        if state == "done" and len(self.completed_tasks.get(job, ())) < self.jobs[job]["portions"]:
+            self._report_violation("not_done", f"{job} is reported as done, but not all of its tasks have completed")
         if state == "aborted":
-            self.cancelled_at.setdefault(job, now)
-        if state in FINAL:
-            self.final.setdefault(job, (state, now))
-        if state in FINAL or not before:
-            self.told[job] = state
-        for do in self.on_answer:
-            do(job, verb, state)
+            self.cancel_confirmed_at.setdefault(job, now)
+        if state in FINAL_STATES:
+            self.final_state.setdefault(job, (state, now))
+        if state in FINAL_STATES or not final_state:
+            self.reported_state[job] = state
+        for callback in self.on_response:
+            callback(job, request_kind, state)
--- a/src/gladecroft/lab/overload.py
+++ b/src/gladecroft/lab/overload.py
@@ -1,8 +1,9 @@
-"""Two teams in an overload: how many of each one's tasks are started, with and without fair shares, in virtual time.
+"""Measures in virtual time which share of two teams' tasks is started in an overload.
 
     python -m gladecroft.lab.overload [LOAD...] [--controllers N]
 
-One team submits urgent arrays, LOAD times what eight machines can do; the other one a small normal array every 20 s.
+The large team submits urgent arrays at LOAD times the capacity of eight machines, the small team submits a small array
+of normal priority every 20 s. Each load is run without and with admission control, which gives the teams fair shares.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from gladecroft.lab.scenario import Scenario
 from gladecroft.lab.simulation import seconds
 
-FLEET = """
+FLEET_SCENARIO = """
 nodes {nodes}
 set machine.consolidate=false
 set admission={on}
@@ -27,62 +28,65 @@
 up g16 count=4
 up g16 zone=b count=4
 """
-#: Seconds between two of the flood's arrays (24 tasks of 4 cores for 8 s) that just fill the machines.
-FULL_EVERY = 6.0
-#: The small team's array (8 such tasks) comes every so many seconds, from ``SMALL_FROM`` on.
-SMALL_EVERY, SMALL_FROM = 20.0, 10.0
-#: What comes in the last seconds can't be told from what is not served.
-LEFT_OUT = 20.0
+#: Interval in seconds at which the large team's arrays (24 tasks of 4 cores for 8 s) just fill the machines.
+SATURATING_INTERVAL_S = 6.0
+#: Interval and first time in seconds of the small team's arrays (8 such tasks).
+SMALL_INTERVAL_S, SMALL_START_S = 20.0, 10.0
+#: Nothing is submitted in this many last seconds: its tasks could not be told from tasks that are not started in time.
+EXCLUDED_TAIL_S = 20.0
 
 
-def fleet(on: bool, nodes: int = 3, guarantee: float = 0.0) -> Scenario:
-    """The eight machines, before anything has happened."""
-    return Scenario(FLEET.format(on=str(on).lower(), nodes=nodes, guarantee=guarantee), 1).run()
+def build_scenario(admission: bool, controllers: int = 3, guarantee: float = 0.0) -> Scenario:
+    """Return a scenario with the eight machines and no jobs."""
+    return Scenario(FLEET_SCENARIO.format(on=str(admission).lower(), nodes=controllers, guarantee=guarantee), 1).run()
 
 
-def pour(scenario: Scenario, load: float, until: float, priority: str = "urgent") -> int:
-    """Have team a submit arrays wk-1..., ``load`` times what the machines can do; how many."""
-    count = int((until - 2.0) * load / FULL_EVERY)
+def submit_backlog(scenario: Scenario, load: float, until: float, priority: str = "urgent") -> int:
+    """Schedule the submission of arrays wk-1... by team a at ``load`` times the machines' capacity; return how many."""
+    count = int((until - 2.0) * load / SATURATING_INTERVAL_S)
     for number in range(count):
         words = ["submit", f"wk-1{number:05d}", "team=a", f"priority={priority}", "tasks=24", "cpus=4", "run=8"]
-        scenario.world.at(seconds(2.0 + number * FULL_EVERY / load), partial(scenario._do, words))
+        scenario.sim.call_at(seconds(2.0 + number * SATURATING_INTERVAL_S / load), partial(scenario._perform, words))
     return count
 
 
-def drip(scenario: Scenario, until: float) -> int:
-    """Have team b submit a small array wk-2... now and then; how many."""
-    count = int((until - SMALL_FROM) / SMALL_EVERY)
+def submit_small_arrays(scenario: Scenario, until: float) -> int:
+    """Schedule the submission of small arrays wk-2... by team b; return how many."""
+    count = int((until - SMALL_START_S) / SMALL_INTERVAL_S)
     for number in range(count):
         words = ["submit", f"wk-2{number:05d}", "team=b", "tasks=8", "cpus=4", "run=8"]
-        scenario.world.at(seconds(SMALL_FROM + number * SMALL_EVERY), partial(scenario._do, words))
+        scenario.sim.call_at(seconds(SMALL_START_S + number * SMALL_INTERVAL_S), partial(scenario._perform, words))
     return count
 
 
-def started(scenario: Scenario, team: str) -> int:
-    """Tasks of the jobs wk-<team>... that were started at least once."""
+def count_started_tasks(scenario: Scenario, team: str) -> int:
+    """Return how many tasks of the jobs wk-<team>... were started at least once."""
     return len({start[1] for start in scenario.oracle.starts if start[1][0].startswith(f"wk-{team}")})
 
 
-def served(on: bool, load: float, nodes: int, until: float = 300.0) -> tuple[float, float]:
-    """The shares of both teams' tasks that are started."""
-    scenario = fleet(on, nodes)
-    large, small = pour(scenario, load, until - LEFT_OUT), drip(scenario, until - LEFT_OUT)
-    scenario.world.run_until(seconds(until))
-    if scenario.oracle.broken:
-        raise RuntimeError(f"a rule is broken: {scenario.oracle.broken[0]}")
-    return started(scenario, "1") / (24 * large), started(scenario, "2") / (8 * small)
+def measure_started_shares(admission: bool, load: float, controllers: int, until: float = 300.0) -> tuple[float, float]:
+    """Return the share of the large and of the small team's tasks that are started."""
+    scenario = build_scenario(admission, controllers)
+    large, small = (
+        submit_backlog(scenario, load, until - EXCLUDED_TAIL_S),
+        submit_small_arrays(scenario, until - EXCLUDED_TAIL_S),
+    )
+    scenario.sim.run_until(seconds(until))
+    if scenario.oracle.violations:
+        raise RuntimeError(f"rule violated: {scenario.oracle.violations[0]}")
+    return count_started_tasks(scenario, "1") / (24 * large), count_started_tasks(scenario, "2") / (8 * small)
 
 
 @click.command()
 @click.argument("loads", nargs=-1, type=click.FloatRange(min=0.1, max=20))
 @click.option("--controllers", default=3, show_default=True, type=click.IntRange(1, 9))
 def main(loads: tuple[float, ...], controllers: int) -> None:
-    """The shares of both teams' tasks that are started, by load (simulated)."""
+    """Print the shares of both teams' tasks that are started, by load (simulated)."""
     logging.disable(logging.CRITICAL)
     print(f"{controllers} controllers; simulated")
-    print(f"{'load':>6}{'flood, off':>12}{'small, off':>12}{'flood, on':>12}{'small, on':>12}")
+    print(f"{'load':>6}{'large, off':>12}{'small, off':>12}{'large, on':>12}{'small, on':>12}")
     for load in loads or (0.5, 1.0, 2.0, 3.0, 6.0):
-        shares = [*served(False, load, controllers), *served(True, load, controllers)]
+        shares = [*measure_started_shares(False, load, controllers), *measure_started_shares(True, load, controllers)]
         print(f"{load:>6g}" + "".join(f"{share:>12.3f}" for share in shares), flush=True)
 
 
--- a/src/gladecroft/lab/scenario.py
+++ b/src/gladecroft/lab/scenario.py
@@ -1,4 +1,4 @@
-"""Reads a scenario (see tests/scenarios/README) and plays it in virtual time."""
+"""Parses a scenario file (``tests/scenarios/README`` describes the commands) and runs it in the simulation."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 import msgspec
 
 from gladecroft.coordination.events import RequestKind
-from gladecroft.lab.cloud import Cloud
-from gladecroft.lab.fault_injection import Troubles
+from gladecroft.lab.cloud import SimulatedCloud
+from gladecroft.lab.fault_injection import FaultInjector
 from gladecroft.lab.oracle import Oracle
-from gladecroft.lab.placeable_jobs import waiting_with_room
-from gladecroft.lab.simulation import START, Controller, Replier, World, seconds
-from gladecroft.lab.state_service import StateService
-from gladecroft.lab.user import User
-from gladecroft.lab.worker import Kind, Worker
+from gladecroft.lab.placeable_jobs import find_placeable_jobs
+from gladecroft.lab.simulation import WALL_CLOCK_START, ReplyCallback, SimulatedController, Simulation, seconds
+from gladecroft.lab.state_service import SimulatedStateService
+from gladecroft.lab.user import SimulatedUser
+from gladecroft.lab.worker import SimulatedMachineType, SimulatedWorker
 from gladecroft.protocol import operators
 from gladecroft.protocol.settings import OperatorSettings, PlatformSettings
 
 Json = dict[str, Any]
-Words = dict[str, str]
+Options = dict[str, str]
 
-PLATFORM: Json = {
+PLATFORM_SETTINGS: Json = {
     "zones": ["a", "b"],
     "teams": [],
     "workers": {"report_s": 3.0, "lease_s": 18.0, "cancel_s": 43.0},
@@ -36,15 +36,17 @@
 
 
 class ScenarioError(Exception):
-    """The scenario can't be played; the text names the line and the word."""
+    """The scenario is invalid; the message names the line and the word."""
 
 
-#: The deeds, and the words that each may carry.
-_JOB = "team kind priority tasks cpus memory image gb zone one_zone spread spot run checkpoint save broken times"
-DEEDS: dict[str, set[str]] = {
-    deed: set(words.split())
-    for deed, words in {
-        "submit": _JOB, "cancel": "", "crash": "for", "cut": "mode for", "cut-machine": "mode for",
+_JOB_OPTIONS = (
+    "team kind priority tasks cpus memory image gb zone one_zone spread spot run checkpoint save broken times"
+)
+#: The options of each action.
+ACTIONS: dict[str, set[str]] = {
+    action: set(words.split())
+    for action, words in {
+        "submit": _JOB_OPTIONS, "cancel": "", "crash": "for", "cut": "mode for", "cut-machine": "mode for",
         "cut-zone": "mode for", "hang": "for",
         "die": "", "sick": "", "slow": "factor", "notice": "for", "outage": "for", "refuse": "for",
         "cloud-outage": "for", "late": "share lose for", "forget-log": "for", "never-boot": "share for",
@@ -56,125 +58,133 @@
         "quick-boots": "for", "slow-links": "by for",
     }.items()
 }  # fmt: skip
-#: Deeds that are no troubles.
-HARMLESS = {"submit", "cancel", "cordon", "ask", "cancel-at-end", "odd", "close-looks", "quick-boots"}
-SETTINGS: dict[str, set[str] | None] = {
+#: Actions that inject no fault.
+HARMLESS_ACTIONS = {"submit", "cancel", "cordon", "ask", "cancel-at-end", "odd", "close-looks", "quick-boots"}
+#: The options of each other command.
+SETTING_OPTIONS: dict[str, set[str] | None] = {
     "nodes": set(),
     "team": {"cpus", "max"},
     "type": {"cpus", "memory", "price", "spot_price", "boot", "zones", "count", "spot"},
-    "set": None,  # operators' settings, which are checked by themselves
+    "set": None,  # operator settings have their own validation
     "state": {"rps", "write_rps", "value_kb", "txn_ops"},
     "memory": set(),
     "up": {"zone", "count", "spot"},
 }
 
 
-#: Words that are yes or no, and those that say what part of all is meant.
-FLAGS = {"spot", "one_zone", "spread", "broken", "direct", "lift", "answers", "at_once", "next"}
-PARTS = {"share", "lose", "cancels"}
+FLAG_OPTIONS = {"spot", "one_zone", "spread", "broken", "direct", "lift", "answers", "at_once", "next"}
+FRACTION_OPTIONS = {"share", "lose", "cancels"}
 
 
-def _check(verb: str, named: Words, known: set[str] | None) -> None:
-    for word, value in named.items():
-        if known is not None and word in known:
-            if word in FLAGS and verb not in SETTINGS and value not in ("yes", "no"):
-                raise ValueError(f"{verb}: {word} is yes or no, not {value!r}")
-            if word in PARTS and not 0.0 <= float(value) <= 1.0:
-                raise ValueError(f"{verb}: {word} is a part from 0 to 1, not {value}")
-        if known is not None and word not in known:
-            raise ValueError(f"{verb} knows no {word!r}" + (f" (known: {', '.join(sorted(known))})" if known else ""))
+def _check_options(command: str, options: Options, known: set[str] | None) -> None:
+    for option, value in options.items():
+        if known is not None and option in known:
+            if option in FLAG_OPTIONS and command not in SETTING_OPTIONS and value not in ("yes", "no"):
+                raise ValueError(f"{command}: {option} is yes or no, not {value!r}")
+            if option in FRACTION_OPTIONS and not 0.0 <= float(value) <= 1.0:
+                raise ValueError(f"{command}: {option} is a part from 0 to 1, not {value}")
+        if known is not None and option not in known:
+            raise ValueError(
+                f"{command} knows no {option!r}" + (f" (known: {', '.join(sorted(known))})" if known else "")
+            )
 
 
-def _names(first: str, named: Words) -> list[str]:
-    """The names of as many jobs as the deed speaks of."""
-    return [f"{first}{index:03d}" if index else first for index in range(int(named.get("times", "1")))]
+def _job_names(first: str, options: Options) -> list[str]:
+    """The names of the jobs of one action: as many as its option ``times`` says."""
+    return [f"{first}{index:03d}" if index else first for index in range(int(options.get("times", "1")))]
 
 
-def _words(parts: list[str]) -> tuple[list[str], Words]:
-    plain = [part for part in parts if "=" not in part or part in ("<=", ">=")]
-    named = dict(part.split("=", 1) for part in parts if "=" in part and part not in ("<=", ">="))
-    return plain, named
+def _parse_words(words: list[str]) -> tuple[list[str], Options]:
+    """Separate arguments from options of the form ``name=value``."""
+    args = [word for word in words if "=" not in word or word in ("<=", ">=")]
+    options = dict(word.split("=", 1) for word in words if "=" in word and word not in ("<=", ">="))
+    return args, options
 
 
 class Scenario:
+    """A simulated cluster, and the lines of a scenario that set it up, act on it and check it."""
+
     def __init__(self, text: str, seed: int) -> None:
-        self.world = World(seed)
+        self.sim = Simulation(seed)
         self.jobs: dict[str, Json] = {}
-        self.users: dict[str, User] = {}
-        self.limits: dict[str, float] = {}
+        self.users: dict[str, SimulatedUser] = {}
+        self.team_limits: dict[str, float] = {}
         self.operator_settings = OperatorSettings()
         self._teams: list[Json] = []
-        self._kinds: dict[str, Kind] = {}
+        self._machine_types: dict[str, SimulatedMachineType] = {}
         self._capacity: dict[tuple[str, str, bool], int] = {}
-        self._nodes = 3
-        self._state: Json = dict(PLATFORM["state"])
+        self._controller_count = 3
+        self._state_limits: Json = dict(PLATFORM_SETTINGS["state"])
         self._memory_mb = 256.0
-        self._up: list[tuple[str, str, bool, int]] = []
-        self.failures: list[str] = []
+        self._initial_machines: list[tuple[str, str, bool, int]] = []
+        #: Expectations that did not hold, with the values found.
+        self.unmet_expectations: list[str] = []
         self.evictions = 0
-        #: The answers to operators' orders.
-        self.orders: list[int] = []
+        #: Statuses of the replies to cordon commands.
+        self.cordon_statuses: list[int] = []
         lines = [line.split("#", 1)[0].strip() for line in text.splitlines()]
-        self._line = (0, "")
+        self._current_line = (0, "")
         self._lines = [(number, line) for number, line in enumerate(lines, 1) if line]
 
     def run(self) -> Scenario:
-        setup = [
-            (n, line)
-            for n, line in self._lines
+        """Run all lines. ``ScenarioError`` if one is invalid; failed expectations are collected."""
+        setting_lines = [
+            (number, line)
+            for number, line in self._lines
             if line.split()[0] in ("nodes", "team", "type", "set", "state", "memory")
         ]
-        rest = [(n, line) for n, line in self._lines if (n, line) not in setup]
-        for number, line in setup:
-            self._guard(number, line, self._setup)
+        other_lines = [(number, line) for number, line in self._lines if (number, line) not in setting_lines]
+        for number, line in setting_lines:
+            self._handle_line(number, line, self._apply_setting)
         self._build()
-        for number, line in rest:
-            self._line = (number, line)
-            self._guard(number, line, self._act)
+        for number, line in other_lines:
+            self._current_line = (number, line)
+            self._handle_line(number, line, self._run_line)
         return self
 
-    def _guard(self, number: int, line: str, do: Any) -> None:
+    def _handle_line(self, number: int, line: str, handler: Any) -> None:
         try:
-            do(shlex.split(line))
+            handler(shlex.split(line))
         except ScenarioError:
             raise
         except (KeyError, ValueError, IndexError, StopIteration, msgspec.ValidationError) as error:
-            what = f"no such {error.args[0]!r}" if isinstance(error, KeyError) else str(error) or "not enough words"
-            raise ScenarioError(f"line {number}: {line!r}: {what}") from error
+            cause = f"no such {error.args[0]!r}" if isinstance(error, KeyError) else str(error) or "too few arguments"
+            raise ScenarioError(f"line {number}: {line!r}: {cause}") from error
 
     # Setup
 
-    def _setup(self, parts: list[str]) -> None:
-        plain, named = _words(parts)
-        _check(plain[0], named, SETTINGS[plain[0]])
-        if plain[0] == "nodes":
-            self._nodes = int(plain[1])
-        elif plain[0] == "team":
-            most = float(named["max"])
-            self._teams.append({"name": plain[1], "cpus": float(named["cpus"]), "cpus_max": most})
-            self.limits[plain[1]] = most or math.inf
-        elif plain[0] == "type":
-            kind = Kind(plain[1], float(named["cpus"]), float(named["memory"]), float(named.get("price", 1)),
-                        float(named.get("spot_price", 0.4)), float(named.get("boot", 30)))  # fmt: skip
-            self._kinds[kind.name] = kind
-            for zone in named.get("zones", "a,b").split(","):
-                self._capacity[(kind.name, zone, False)] = int(named.get("count", 10))
-                self._capacity[(kind.name, zone, True)] = int(named.get("spot", 10))
-        elif plain[0] == "memory":
-            self._memory_mb = float(plain[1])
-        elif plain[0] == "set":
-            table = {key: value for key, value in named.items()}
+    def _apply_setting(self, words: list[str]) -> None:
+        args, options = _parse_words(words)
+        _check_options(args[0], options, SETTING_OPTIONS[args[0]])
+        if args[0] == "nodes":
+            self._controller_count = int(args[1])
+        elif args[0] == "team":
+            limit = float(options["max"])
+            self._teams.append({"name": args[1], "cpus": float(options["cpus"]), "cpus_max": limit})
+            self.team_limits[args[1]] = limit or math.inf
+        elif args[0] == "type":
+            machine_type = SimulatedMachineType(args[1], float(options["cpus"]), float(options["memory"]),
+                                float(options.get("price", 1)), float(options.get("spot_price", 0.4)),
+                                float(options.get("boot", 30)))  # fmt: skip
+            self._machine_types[machine_type.name] = machine_type
+            for zone in options.get("zones", "a,b").split(","):
+                self._capacity[(machine_type.name, zone, False)] = int(options.get("count", 10))
+                self._capacity[(machine_type.name, zone, True)] = int(options.get("spot", 10))
+        elif args[0] == "memory":
+            self._memory_mb = float(args[1])
+        elif args[0] == "set":
+            table = {key: value for key, value in options.items()}
             self.operator_settings = msgspec.convert(table, OperatorSettings, strict=False)
         else:
-            self._state.update({key: msgspec.json.decode(value) for key, value in named.items()})
+            self._state_limits.update({key: msgspec.json.decode(value) for key, value in options.items()})
 
     def _build(self) -> None:
-        world = self.world
-        self.oracle = Oracle(self.jobs, self.limits, PLATFORM["workers"]["cancel_s"], world.elapsed)
-        self.state = StateService(world, self._state["rps"], self._state["write_rps"])
-        self.cloud = Cloud(world, self._kinds, self._capacity)
-        names = [f"n{index}" for index in range(self._nodes)]
-        self.controllers: list[Controller] = []
+        sim = self.sim
+        self.oracle = Oracle(self.jobs, self.team_limits, PLATFORM_SETTINGS["workers"]["cancel_s"], sim.elapsed)
+        self.state = SimulatedStateService(sim, self._state_limits["rps"], self._state_limits["write_rps"])
+        self.cloud = SimulatedCloud(sim, self._machine_types, self._capacity)
+        names = [f"n{index}" for index in range(self._controller_count)]
+        self.controllers: list[SimulatedController] = []
         workers: dict[str, Any] = {}
         for name in names:
             table = {
@@ -183,79 +193,83 @@
                 "siblings": [{"label": other, "peer_addr": f"{other}:8081"} for other in names if other != name],
                 "outside": {"cloud": "10.2.0.2:8443", "state": "10.2.0.1:2379"},
                 "settings": {
-                    **PLATFORM,
+                    **PLATFORM_SETTINGS,
                     "teams": self._teams,
-                    "state": self._state,
+                    "state": self._state_limits,
                     "resources": {"ram_mb": self._memory_mb},
                 },
             }
-            controller = Controller(world, msgspec.convert(table, PlatformSettings), self.operator_settings)
+            controller = SimulatedController(sim, msgspec.convert(table, PlatformSettings), self.operator_settings)
             controller.state, controller.cloud, controller.workers = self.state, self.cloud, workers
             self.controllers.append(controller)
-            world.at(seconds(0.1 * len(self.controllers)), controller.start)
+            sim.call_at(seconds(0.1 * len(self.controllers)), controller.start)
         for controller in self.controllers:
-            controller.peers = {f"{other.name}:8081": other for other in self.controllers}
-        lease = PLATFORM["workers"]["lease_s"]
+            controller.peers_by_addr = {f"{other.name}:8081": other for other in self.controllers}
+        lease = PLATFORM_SETTINGS["workers"]["lease_s"]
 
-        def new_worker(name: str, kind: Kind, zone: str, spot: bool) -> Worker:
-            worker = Worker(world, name, kind, zone, spot, self.controllers, self.oracle, self.jobs,
-                            seconds(lease), seconds(PLATFORM["workers"]["report_s"]))  # fmt: skip
+        def new_worker(name: str, machine_type: SimulatedMachineType, zone: str, spot: bool) -> SimulatedWorker:
+            worker = SimulatedWorker(sim, name, machine_type, zone, spot, self.controllers, self.oracle, self.jobs,
+                            seconds(lease), seconds(PLATFORM_SETTINGS["workers"]["report_s"]))  # fmt: skip
             workers[worker.addr] = worker
             return worker
 
         self.cloud.new_worker = new_worker
-        self.troubles = Troubles(world, self.state, self.cloud, self.controllers, self.oracle, self.users)
-        self.oracle.waiting_with_room = lambda: waiting_with_room(self.cloud.machines.values(), self.jobs, self.oracle)
+        self.fault_injector = FaultInjector(sim, self.state, self.cloud, self.controllers, self.oracle, self.users)
+        self.oracle.find_placeable_jobs = lambda: find_placeable_jobs(
+            self.cloud.machines.values(), self.jobs, self.oracle
+        )
 
         def sweep() -> None:
-            self.oracle.sweep()
-            world.later(seconds(1), sweep)
+            self.oracle.check_time_limits()
+            sim.call_later(seconds(1), sweep)
 
         sweep()
 
-    # What happens
-
-    def _act(self, parts: list[str]) -> None:
-        verb = parts[0]
-        if verb == "up":
-            plain, named = _words(parts)
-            _check(verb, named, SETTINGS[verb])
-            for _ in range(int(named.get("count", "1"))):
-                self.cloud.rent(plain[1], named.get("zone", "a"), named.get("spot") == "yes", boot=timedelta())
-        elif verb == "at":
-            offset, rest = seconds(float(parts[1])), parts[2:]
-            number, line = self._line
-            if rest[0] not in DEEDS:
-                raise ValueError(f"unknown deed {rest[0]!r}")
-            _check(rest[0], _words(rest)[1], DEEDS[rest[0]])
-            if rest[0] == "submit" and _words(rest)[1].get("team") not in self.limits:
-                raise ValueError(f"no team {_words(rest)[1].get('team')!r}")
-
-            def do() -> None:
-                self.oracle.note(" ".join(rest))
-                self._guard(number, line, lambda _: self._do(rest))
-
-            self.world.at(offset, do)
-        elif verb == "run":
-            self.world.run_until(seconds(float(parts[1])))
-        elif verb == "expect":
-            self._expect(parts[1:])
+    # Actions
+
+    def _run_line(self, words: list[str]) -> None:
+        keyword = words[0]
+        if keyword == "up":
+            args, options = _parse_words(words)
+            _check_options(keyword, options, SETTING_OPTIONS[keyword])
+            for _ in range(int(options.get("count", "1"))):
+                self.cloud.rent(args[1], options.get("zone", "a"), options.get("spot") == "yes", boot=timedelta())
+        elif keyword == "at":
+            offset, action_words = seconds(float(words[1])), words[2:]
+            number, line = self._current_line
+            if action_words[0] not in ACTIONS:
+                raise ValueError(f"unknown deed {action_words[0]!r}")
+            _check_options(action_words[0], _parse_words(action_words)[1], ACTIONS[action_words[0]])
+            if action_words[0] == "submit" and _parse_words(action_words)[1].get("team") not in self.team_limits:
+                raise ValueError(f"no team {_parse_words(action_words)[1].get('team')!r}")
+
+            def perform() -> None:
+                self.oracle.record_event(" ".join(action_words))
+                self._handle_line(number, line, lambda _: self._perform(action_words))
+
+            self.sim.call_at(offset, perform)
+        elif keyword == "run":
+            self.sim.run_until(seconds(float(words[1])))
+        elif keyword == "expect":
+            self._check_expectation(words[1:])
         else:
-            raise ValueError(f"unknown word {verb!r}")
+            raise ValueError(f"unknown word {keyword!r}")
 
-    def _controller(self, name: str) -> Controller:
+    def _controller(self, name: str) -> SimulatedController:
+        """The controller of this name; ``leader`` is the current leader, ``follower`` the first other member."""
         if name == "leader":
-            epoch = self.state.keys["g/epoch"][0]
+            epoch = self.state.entries["g/epoch"][0]
             name = epoch["leader"]
         if name == "follower":
-            epoch = self.state.keys["g/epoch"][0]
+            epoch = self.state.entries["g/epoch"][0]
             name = next(node for node in sorted(epoch["members"]) if node != epoch["leader"])
         for controller in self.controllers:
             if controller.name == name:
                 return controller
         raise ValueError(f"no controller {name!r}")
 
-    def _worker(self, name: str) -> Worker:
+    def _worker(self, name: str) -> SimulatedWorker:
+        """The worker with this number; ``busiest`` is the one with the most tasks."""
         if name == "busiest":
             return max(self.cloud.machines.values(), key=lambda worker: (len(worker.tasks), worker.name))
         worker = self.cloud.machines.get(f"m-{int(name):06d}")
@@ -263,322 +277,332 @@
             raise ValueError(f"no machine {name!r} at that time")
         return worker
 
-    def _do(self, parts: list[str]) -> None:
-        plain, named = _words(parts)
-        verb = plain[0]
-        span = seconds(float(named.get("for", "0")))
-        until = self.world.elapsed() + span.total_seconds()
-        if verb not in HARMLESS:
-            # Copies come late, and so may what is late or held up at the state service.
+    def _perform(self, words: list[str]) -> None:
+        """Carry out an action; faults last for the time that its option ``for`` says."""
+        args, options = _parse_words(words)
+        action = args[0]
+        duration = seconds(float(options.get("for", "0")))
+        until = self.sim.elapsed() + duration.total_seconds()
+        if action not in HARMLESS_ACTIONS:
+            # Duplicate reports and delayed requests arrive after the action has ended.
             later = (
-                float(named.get("late", "0"))
-                + float(named.get("hang", "0"))
-                + {"late": 20.0, "late-writes": 12.0}.get(verb, 0.0)
+                float(options.get("late", "0"))
+                + float(options.get("hang", "0"))
+                + {"late": 20.0, "late-writes": 12.0}.get(action, 0.0)
             )
-            self.oracle.trouble(until + later)
-        if verb == "submit":
-            for name in _names(plain[1], named):
-                self._submit(name, named)
-        elif verb == "cancel":
-            if plain[1] not in self.users:
-                raise ValueError(f"no job {plain[1]!r} at that time")
-            self.users[plain[1]].cancel()
-        elif verb == "crash":
-            for name in plain[1:]:
+            self.oracle.extend_failures(until + later)
+        if action == "submit":
+            for name in _job_names(args[1], options):
+                self._submit(name, options)
+        elif action == "cancel":
+            if args[1] not in self.users:
+                raise ValueError(f"no job {args[1]!r} at that time")
+            self.users[args[1]].cancel()
+        elif action == "crash":
+            for name in args[1:]:
                 for controller in self.controllers if name == "all" else [self._controller(name)]:
                     controller.crash()
-                    self.world.later(span, controller.start)
-        elif verb == "cut":
-            node = self._controller(plain[1]).name
-            others = plain[2:]
+                    self.sim.call_later(duration, controller.start)
+        elif action == "cut":
+            controller_name = self._controller(args[1]).name
+            others = args[2:]
             if "siblings" in others:
-                others += [controller.name for controller in self.controllers if controller.name != node]
+                others += [controller.name for controller in self.controllers if controller.name != controller_name]
 
             def matches(one: str, other: str) -> bool:
-                if node not in (one, other):
+                if controller_name not in (one, other):
                     return False
-                peer = other if one == node else one
+                peer = other if one == controller_name else one
                 group = "workers" if peer.startswith("m-") else "users" if peer == "user" else peer
                 return group in others or "all" in others
 
-            self.world.cut(matches, named.get("mode", "lose"), span)
-        elif verb == "cut-machine":
-            name = self._worker(plain[1]).name
-            self.world.cut(lambda one, other: name in (one, other), named.get("mode", "lose"), span)
-        elif verb == "cut-zone":
-            # Its machines and the controllers named reach each other and nobody else: no state service, cloud or user.
-            if plain[1] not in PLATFORM["zones"]:
-                raise ValueError(f"no zone {plain[1]!r}")
-            zone, inside = plain[1], {self._controller(name).name for name in plain[2:]}
+            self.sim.partition(matches, options.get("mode", "lose"), duration)
+        elif action == "cut-machine":
+            name = self._worker(args[1]).name
+            self.sim.partition(lambda one, other: name in (one, other), options.get("mode", "lose"), duration)
+        elif action == "cut-zone":
+            # The zone's machines and the given controllers reach only each other: no state service, cloud or user.
+            if args[1] not in PLATFORM_SETTINGS["zones"]:
+                raise ValueError(f"no zone {args[1]!r}")
+            zone, inside = args[1], {self._controller(name).name for name in args[2:]}
 
             def within(name: str) -> bool:
                 worker = self.cloud.machines.get(name)
                 return name in inside or worker is not None and worker.zone == zone
 
-            self.world.cut(lambda one, other: within(one) != within(other), named.get("mode", "lose"), span)
-        elif verb == "island":
-            self._do(["cut", plain[1], "state", "siblings", f"for={named['for']}"])
-        elif verb == "deaf":
-            deaf = self._several(plain[1:], named)
-            names = {worker.name for worker in deaf}
-            if named.get("direct") == "yes":
-                for worker in deaf:
-                    self._shut(worker, span)
+            self.sim.partition(lambda one, other: within(one) != within(other), options.get("mode", "lose"), duration)
+        elif action == "island":
+            self._perform(["cut", args[1], "state", "siblings", f"for={options['for']}"])
+        elif action == "deaf":
+            workers = self._select_workers(args[1:], options)
+            names = {worker.name for worker in workers}
+            if options.get("direct") == "yes":
+                for worker in workers:
+                    self._drop_commands(worker, duration)
             else:
-                self.world.cut(lambda one, other: other in names, "lose", span)
-        elif verb == "mute":
-            # What it sends reaches no machine, though it hears them.
-            mute = self._controller(plain[1]).name
-            self.world.cut(lambda one, other: one == mute and other.startswith("m-"), "lose", span)
-        elif verb == "mute-machine":
-            # It reaches no controller; what is sent straight to it arrives, and is answered.
-            for worker in self._several(plain[1:], named):
-                worker.mute_until = max(worker.mute_until, self.world.now + span)
-        elif verb == "cancel-now":
-            self.troubles.cancel_now(int(named["count"]), float(named.get("hang", "0")))
-        elif verb == "cancel-at-end":
-            self.troubles.cancel_at_end(float(named["share"]), until)
-        elif verb == "odd":
-            self.troubles.odd_requests(until)
-        elif verb == "close-looks":
-            self.troubles.close_looks(until, float(named.get("cancels", "0")))
-        elif verb == "slow-links":
-            self.world.slow_links = seconds(float(named["by"]))
-            self.world.later(span, lambda: setattr(self.world, "slow_links", timedelta()))
-        elif verb == "quick-boots":
-            self.cloud.quick_until = self.world.now + span
-        elif verb == "copies" and named.get("next") == "yes":
-            self.troubles.copies_for_next(float(named["share"]), until)
-        elif verb == "copies":
-            self._copy(float(named["share"]), float(named["late"]))
-            self.world.later(span, lambda: self._copy(0.0, 0.0))
-        elif verb == "reboot":
-            for name in plain[1:]:
-                self._worker(name).reboot(span)
-        elif verb == "freeze":
-            for name in plain[1:]:
-                self._controller(name).freeze(span)
-        elif verb == "down":
-            # Without power: it says nothing, and nobody is told so.
-            for name in plain[1:]:
-                gone = self._controller(name).name
-                self._do(["cut", gone, "all", f"for={named['for']}"])
-                self._do(["crash", gone, f"for={named['for']}"])
-        elif verb == "hang":
-            self._worker(plain[1]).hang(span)
-        elif verb == "die":
-            self._worker(plain[1]).die(failed=True)
-        elif verb == "sick":
-            self._worker(plain[1]).sick = True
-        elif verb == "slow":
-            self._worker(plain[1]).slow = float(named["factor"])
-        elif verb == "notice":
-            worker = self._worker(plain[1])
-            worker.notice = self.world.now + span
-            worker._changed()
-            self.world.later(span, lambda: self.cloud.remove(worker.name))
-        elif verb == "outage":
+                self.sim.partition(lambda one, other: other in names, "lose", duration)
+        elif action == "mute":
+            # Its messages reach no machine, while it still receives their reports.
+            sender = self._controller(args[1]).name
+            self.sim.partition(lambda one, other: one == sender and other.startswith("m-"), "lose", duration)
+        elif action == "mute-machine":
+            # Its reports are lost; commands that are sent to its address arrive and are answered.
+            for worker in self._select_workers(args[1:], options):
+                worker.reports_lost_until = max(worker.reports_lost_until, self.sim.now + duration)
+        elif action == "cancel-now":
+            self.fault_injector.cancel_running_jobs(int(options["count"]), float(options.get("hang", "0")))
+        elif action == "cancel-at-end":
+            self.fault_injector.cancel_on_completion(float(options["share"]), until)
+        elif action == "odd":
+            self.fault_injector.send_unusual_requests(until)
+        elif action == "close-looks":
+            self.fault_injector.send_concurrent_polls(until, float(options.get("cancels", "0")))
+        elif action == "slow-links":
+            self.sim.max_extra_latency = seconds(float(options["by"]))
+            self.sim.call_later(duration, lambda: setattr(self.sim, "max_extra_latency", timedelta()))
+        elif action == "quick-boots":
+            self.cloud.fast_boot_until = self.sim.now + duration
+        elif action == "copies" and options.get("next") == "yes":
+            self.fault_injector.replay_reports_to_next_leader(float(options["share"]), until)
+        elif action == "copies":
+            self._set_duplicate_reports(float(options["share"]), float(options["late"]))
+            self.sim.call_later(duration, lambda: self._set_duplicate_reports(0.0, 0.0))
+        elif action == "reboot":
+            for name in args[1:]:
+                self._worker(name).reboot(duration)
+        elif action == "freeze":
+            for name in args[1:]:
+                self._controller(name).freeze(duration)
+        elif action == "down":
+            # Without power, so that peers and workers see timeouts instead of refused connections.
+            for name in args[1:]:
+                controller_name = self._controller(name).name
+                self._perform(["cut", controller_name, "all", f"for={options['for']}"])
+                self._perform(["crash", controller_name, f"for={options['for']}"])
+        elif action == "hang":
+            self._worker(args[1]).hang(duration)
+        elif action == "die":
+            self._worker(args[1]).terminate(failed=True)
+        elif action == "sick":
+            self._worker(args[1]).faulty = True
+        elif action == "slow":
+            self._worker(args[1]).slowdown = float(options["factor"])
+        elif action == "notice":
+            worker = self._worker(args[1])
+            worker.reclaim_at = self.sim.now + duration
+            worker._request_report()
+            self.sim.call_later(duration, lambda: self.cloud.remove(worker.name))
+        elif action == "outage":
             self.state.set_outage(True)
-            self.world.later(span, lambda: self.state.set_outage(False))
-        elif verb == "refuse":
-            node = self._controller(plain[1]).name
-            self.state.refused.add(node)
-            self.world.later(span, lambda: self.state.accept(node))
-        elif verb == "cloud-outage":
+            self.sim.call_later(duration, lambda: self.state.set_outage(False))
+        elif action == "refuse":
+            controller_name = self._controller(args[1]).name
+            self.state.refused_controllers.add(controller_name)
+            self.sim.call_later(duration, lambda: self.state.stop_refusing(controller_name))
+        elif action == "cloud-outage":
             self.cloud.outage = True
-            self.world.later(span, lambda: setattr(self.cloud, "outage", False))
-        elif verb == "late":
-            self.state.be_late(float(named["share"]), float(named.get("lose", "0")))
-            self.world.later(span, lambda: self.state.be_late(0.0, 0.0))
-        elif verb == "late-writes":
-            which = "lose_writes" if named.get("at_once") == "yes" else "late_writes"
-            setattr(self.state, which, float(named["share"]))
-            self.world.later(span, lambda: setattr(self.state, which, 0.0))
-        elif verb == "slow-state":
-            usual = self.state.delay
-            self.state.delay = seconds(float(named["by"]))
-            self.world.later(span, lambda: setattr(self.state, "delay", usual))
-        elif verb == "slow-watch":
-            self.state.watch_delay = seconds(float(named["by"]))
-            self.world.later(span, lambda: setattr(self.state, "watch_delay", timedelta()))
-        elif verb == "held":
-            for name in plain[1:]:
-                self._hold(self._worker(name), seconds(float(named["by"])), named.get("answers") == "yes", span)
-        elif verb == "forget-log":
-            self.state.kept = 0
-            self.state.first = self.state.revision + 1
+            self.sim.call_later(duration, lambda: setattr(self.cloud, "outage", False))
+        elif action == "late":
+            self.state.set_request_faults(float(options["share"]), float(options.get("lose", "0")))
+            self.sim.call_later(duration, lambda: self.state.set_request_faults(0.0, 0.0))
+        elif action == "late-writes":
+            attribute = "write_response_loss_rate" if options.get("at_once") == "yes" else "delayed_write_rate"
+            setattr(self.state, attribute, float(options["share"]))
+            self.sim.call_later(duration, lambda: setattr(self.state, attribute, 0.0))
+        elif action == "slow-state":
+            latency = self.state.latency
+            self.state.latency = seconds(float(options["by"]))
+            self.sim.call_later(duration, lambda: setattr(self.state, "latency", latency))
+        elif action == "slow-watch":
+            self.state.watch_delay = seconds(float(options["by"]))
+            self.sim.call_later(duration, lambda: setattr(self.state, "watch_delay", timedelta()))
+        elif action == "held":
+            for name in args[1:]:
+                self._delay_commands(
+                    self._worker(name), seconds(float(options["by"])), options.get("answers") == "yes", duration
+                )
+        elif action == "forget-log":
+            self.state.max_log_entries = 0
+            self.state.first_logged_revision = self.state.revision + 1
             self.state.log.clear()
-            self.world.later(span, lambda: setattr(self.state, "kept", 10_000))
-        elif verb == "never-boot":
-            self.cloud.never_boot = float(named["share"])
-            self.world.later(span, lambda: setattr(self.cloud, "never_boot", 0.0))
-        elif verb == "cordon":
-            until = int((START + self.world.now + span).timestamp()) if span else 0
-            order = operators.CordonRequest(
-                operators.CordonScope(plain[1]), plain[2], named.get("why", ""), "", until, named.get("lift") == "yes"
+            self.sim.call_later(duration, lambda: setattr(self.state, "max_log_entries", 10_000))
+        elif action == "never-boot":
+            self.cloud.boot_failure_rate = float(options["share"])
+            self.sim.call_later(duration, lambda: setattr(self.cloud, "boot_failure_rate", 0.0))
+        elif action == "cordon":
+            until = int((WALL_CLOCK_START + self.sim.now + duration).timestamp()) if duration else 0
+            command = operators.CordonRequest(
+                operators.CordonScope(args[1]), args[2], options.get("why", ""), "", until, options.get("lift") == "yes"
             )
-            asked = self._controller(named.get("node", "n0"))
-            asked.ask(
+            controller = self._controller(options.get("node", "n0"))
+            controller.handle_request(
                 RequestKind.CHANGE_CORDON,
-                msgspec.json.encode(order),
+                msgspec.json.encode(command),
                 "",
-                lambda reply: self.orders.append(reply.status),
+                lambda reply: self.cordon_statuses.append(reply.status),
             )
-        elif verb == "ask":
-            for name in _names(plain[1], named):
-                User(self.world, self.controllers, self.oracle, {"nameId": name}).poll()
+        elif action == "ask":
+            for name in _job_names(args[1], options):
+                SimulatedUser(self.sim, self.controllers, self.oracle, {"nameId": name}).poll()
         else:
-            raise ValueError(f"unknown deed {verb!r}")
+            raise ValueError(f"unknown deed {action!r}")
 
-    def _copy(self, share: float, late: float) -> None:
+    def _set_duplicate_reports(self, share: float, max_delay_s: float) -> None:
         for worker in self.cloud.machines.values():
-            worker.copies = (share, late)
+            worker.duplicate_reports = (share, max_delay_s)
 
-    def _hold(self, worker: Worker, by: timedelta, answers: bool, span: timedelta) -> None:
-        """What is sent straight to its address, or the answer to it, comes so much later."""
-        serve = worker.direct
+    def _delay_commands(
+        self, worker: SimulatedWorker, delay: timedelta, delay_responses: bool, duration: timedelta
+    ) -> None:
+        """Delay commands that are sent to the worker's address, or only the responses to them."""
+        serve = worker.serve
 
-        def held(node: str, method: str, path: str, body: bytes, reply: Replier) -> None:
-            if answers:
-                serve(node, method, path, body, lambda *got: self.world.later(by, lambda: reply(*got)))
+        def delayed(node: str, method: str, path: str, body: bytes, reply: ReplyCallback) -> None:
+            if delay_responses:
+                serve(node, method, path, body, lambda *response: self.sim.call_later(delay, lambda: reply(*response)))
             else:
-                self.world.later(by, lambda: serve(node, method, path, body, reply))
+                self.sim.call_later(delay, lambda: serve(node, method, path, body, reply))
+
+        self._intercept(worker, duration, delayed)
 
-        self._between(worker, span, held)
+    def _drop_commands(self, worker: SimulatedWorker, duration: timedelta) -> None:
+        """Drop commands that are sent to the worker's address; responses to its reports still arrive."""
+        self._intercept(worker, duration, lambda *request: None)
 
-    def _shut(self, worker: Worker, span: timedelta) -> None:
-        """Only what is sent straight to its address does not reach it."""
-        self._between(worker, span, lambda *asked: None)
+    def _intercept(self, worker: SimulatedWorker, duration: timedelta, handler: Callable[..., None]) -> None:
+        """Pass what is sent to the worker's address to the handler for a while.
 
-    def _between(self, worker: Worker, span: timedelta, do: Callable[..., None]) -> None:
-        """For a while what is sent straight to a machine goes another way. Several at a time don't undo each other: put
-        back in the order in which they began, the second left the first in force for good."""
-        serve, until = worker.direct, self.world.now + span
+        The replacement expires by time instead of being undone: when two overlapped, restoring the saved method in the
+        order in which they began left the first in force permanently.
+        """
+        serve, until = worker.serve, self.sim.now + duration
 
-        def direct(node: str, method: str, path: str, body: bytes, reply: Replier) -> None:
-            (do if self.world.now < until else serve)(node, method, path, body, reply)
+        def intercepted(node: str, method: str, path: str, body: bytes, reply: ReplyCallback) -> None:
+            (handler if self.sim.now < until else serve)(node, method, path, body, reply)
 
-        worker.direct = direct  # type: ignore[method-assign]
+        worker.serve = intercepted  # type: ignore[method-assign]
 
-    def _submit(self, name: str, named: Words) -> None:
-        kind = named.get("kind", "batch")
+    def _submit(self, name: str, options: Options) -> None:
+        """Submit a job, or submit it again under a name that is known already."""
+        job_kind = options.get("kind", "batch")
         spec: Json = {
-            "nameId": name, "cohort": "c", "owner": named["team"], "shape": kind,
-            "urgency": named.get("priority", "production" if kind == "service" else "normal"),
-            "portions": int(named.get("tasks", "1")), "cores": float(named.get("cpus", "1")), "cards": 0.0,
-            "memoryGb": float(named.get("memory", "1")), "recipe": named.get("image", "i"),
-            "imageGb": float(named.get("gb", "1")), "flavors": None, "district": named.get("zone"),
-            "oneZone": named.get("one_zone") == "yes", "apart": named.get("spread") == "yes",
-            "leftovers": named.get("spot") == "yes", "expectedS": float(named.get("run", "20")),
-            "snapshotS": float(named.get("checkpoint", "0")), "stashS": float(named.get("save", "0")), "dueS": None,
-            "runS": float(named.get("run", "20")), "broken": named.get("broken") == "yes",
+            "nameId": name, "cohort": "c", "owner": options["team"], "shape": job_kind,
+            "urgency": options.get("priority", "production" if job_kind == "service" else "normal"),
+            "portions": int(options.get("tasks", "1")), "cores": float(options.get("cpus", "1")), "cards": 0.0,
+            "memoryGb": float(options.get("memory", "1")), "recipe": options.get("image", "i"),
+            "imageGb": float(options.get("gb", "1")), "flavors": None, "district": options.get("zone"),
+            "oneZone": options.get("one_zone") == "yes", "apart": options.get("spread") == "yes",
+            "leftovers": options.get("spot") == "yes", "expectedS": float(options.get("run", "20")),
+            "snapshotS": float(options.get("checkpoint", "0")), "stashS": float(options.get("save", "0")), "dueS": None,
+            "runS": float(options.get("run", "20")), "broken": options.get("broken") == "yes",
         }  # fmt: skip
         user = self.users.get(name)
         if user is None:
             self.jobs[name] = spec
-            user = self.users[name] = User(self.world, self.controllers, self.oracle, spec)
+            user = self.users[name] = SimulatedUser(self.sim, self.controllers, self.oracle, spec)
         self.oracle.submit_sent(name)
         user.submit()
 
-    def _several(self, names: list[str], named: Words) -> list[Worker]:
-        """The machines named, and the busiest ones if a count is named too."""
-        most = sorted(self.cloud.machines.values(), key=lambda worker: (-len(worker.tasks), worker.name))
-        return [self._worker(name) for name in names] + most[: int(named.get("count", "0"))]
+    def _select_workers(self, names: list[str], options: Options) -> list[SimulatedWorker]:
+        """The workers with these names, and as many of the busiest ones as the option ``count`` says."""
+        busiest = sorted(self.cloud.machines.values(), key=lambda worker: (-len(worker.tasks), worker.name))
+        return [self._worker(name) for name in names] + busiest[: int(options.get("count", "0"))]
 
-    # What must hold
+    # Expectations
 
-    def _expect(self, parts: list[str]) -> None:
-        plain, named = _words(parts)
-        what, ok = " ".join(parts), False
-        if plain[0] == "rules":
+    def _check_expectation(self, words: list[str]) -> None:
+        args, options = _parse_words(words)
+        message, ok = " ".join(words), False
+        if args[0] == "rules":
             return
-        if plain[0] in self.users:
-            user = self.users[plain[0]]
-            ok = self._expect_job(plain[0], user, plain[1:], named)
-        elif plain[0] == "machines":
+        if args[0] in self.users:
+            user = self.users[args[0]]
+            ok = self._job_meets(args[0], user, args[1:], options)
+        elif args[0] == "machines":
             up = sum(1 for worker in self.cloud.machines.values() if worker.up)
-            ok = _compare(up, plain[1], float(plain[2]))
-            what += f" (are {up})"
-        elif plain[0] == "rentals":
-            ok = _compare(self.cloud.rentals, plain[1], float(plain[2]))
-            what += f" (were {self.cloud.rentals})"
-        elif plain[0] == "starts":
-            ok = _compare(len(self.oracle.starts), plain[1], float(plain[2]))
-            what += f" (were {len(self.oracle.starts)})"
-        elif plain[0] == "refusals":
-            ok = _compare(self.state.refusals, plain[1], float(plain[2]))
-            what += f" (were {self.state.refusals})"
-        elif plain[0] == "refused":
-            answers = [status for user in self.users.values() for _, _, status, _ in user.answers]
-            count = answers.count(int(plain[1]))
-            ok = _compare(count, plain[2], float(plain[3]))
-            what += f" (were {count})"
-        elif plain[0] == "ghosts":
-            # Tasks that the records place on machines which are no more.
+            ok = _compare(up, args[1], float(args[2]))
+            message += f" (are {up})"
+        elif args[0] == "rentals":
+            ok = _compare(self.cloud.rental_count, args[1], float(args[2]))
+            message += f" (were {self.cloud.rental_count})"
+        elif args[0] == "starts":
+            ok = _compare(len(self.oracle.starts), args[1], float(args[2]))
+            message += f" (were {len(self.oracle.starts)})"
+        elif args[0] == "refusals":
+            ok = _compare(self.state.throttled_count, args[1], float(args[2]))
+            message += f" (were {self.state.throttled_count})"
+        elif args[0] == "refused":
+            statuses = [status for user in self.users.values() for _, _, status, _ in user.responses]
+            count = statuses.count(int(args[1]))
+            ok = _compare(count, args[2], float(args[3]))
+            message += f" (were {count})"
+        elif args[0] == "ghosts":
+            # Tasks that the records place on machines that no longer exist.
             rows = [
-                row for key, entry in self.state.keys.items() if key.startswith("g/p/") for row in entry[0]["tasks"]
+                row for key, entry in self.state.entries.items() if key.startswith("g/p/") for row in entry[0]["tasks"]
             ]
             ghosts = sum(1 for row in rows if len(row) > 2 and row[2] and row[2] not in self.cloud.machines)
-            ok = _compare(ghosts, plain[1], float(plain[2]))
-            what += f" (are {ghosts})"
-        elif plain[0] == "silence":
-            # The longest time in which questions about a job went unanswered, all troubles being over.
-            longest = max(self.oracle.longest_silence.values(), default=0.0)
-            ok = _compare(longest, plain[1], float(plain[2]))
-            what += f" (was {longest:.1f})"
-        elif plain[0] == "starts-after-cancel":
+            ok = _compare(ghosts, args[1], float(args[2]))
+            message += f" (are {ghosts})"
+        elif args[0] == "silence":
+            # The longest time without a response about a job after the last injected fault.
+            longest = max(self.oracle.longest_unanswered_s.values(), default=0.0)
+            ok = _compare(longest, args[1], float(args[2]))
+            message += f" (was {longest:.1f})"
+        elif args[0] == "starts-after-cancel":
             count = len(self.oracle.starts_after_cancel)
-            ok = _compare(count, plain[1], float(plain[2]))
-            what += f" (were {count})"
-        elif plain[0] == "orders":
-            ok = self.orders == [int(status) for status in plain[1:]]
-            what += f" (were {self.orders})"
-        elif plain[0] == "epoch":
-            number = self.state.keys["g/epoch"][0]["number"]
-            ok = _compare(number, plain[1], float(plain[2]))
-            what += f" (is {number})"
-        elif plain[0] == "keys":
-            count = sum(1 for key in self.state.keys if key.startswith(plain[1]))
-            ok = _compare(count, plain[2], float(plain[3]))
-            what += f" (are {count})"
+            ok = _compare(count, args[1], float(args[2]))
+            message += f" (were {count})"
+        elif args[0] == "orders":
+            ok = self.cordon_statuses == [int(status) for status in args[1:]]
+            message += f" (were {self.cordon_statuses})"
+        elif args[0] == "epoch":
+            number = self.state.entries["g/epoch"][0]["number"]
+            ok = _compare(number, args[1], float(args[2]))
+            message += f" (is {number})"
+        elif args[0] == "keys":
+            count = sum(1 for key in self.state.entries if key.startswith(args[1]))
+            ok = _compare(count, args[2], float(args[3]))
+            message += f" (are {count})"
         else:
-            raise ValueError(f"unknown expectation {plain[0]}")
+            raise ValueError(f"unknown expectation {args[0]}")
         if not ok:
-            self.failures.append(what)
+            self.unmet_expectations.append(message)
 
-    def _expect_job(self, name: str, user: User, plain: list[str], named: Words) -> bool:
+    def _job_meets(self, name: str, user: SimulatedUser, args: list[str], options: Options) -> bool:
         starts = [start for start in self.oracle.starts if start[1][0] == name]
-        match plain[0]:
+        match args[0]:
             case "done":
-                at = self.oracle.done_at.get(name)
-                return self.oracle.told.get(name) == "done" and (
-                    "by" not in named or (at is not None and at <= float(named["by"]))
+                done_at = self.oracle.done_at.get(name)
+                return self.oracle.reported_state.get(name) == "done" and (
+                    "by" not in options or (done_at is not None and done_at <= float(options["by"]))
                 )
             case "aborted":
-                return self.oracle.told.get(name) == "aborted"
+                return self.oracle.reported_state.get(name) == "aborted"
             case "told":
-                return self.oracle.told.get(name) == plain[1]
+                return self.oracle.reported_state.get(name) == args[1]
             case "status":
-                return any(status == int(plain[1]) for _, _, status, _ in user.answers)
+                return any(status == int(args[1]) for _, _, status, _ in user.responses)
             case "starts":
-                return _compare(len(starts), plain[1], float(plain[2]))
+                return _compare(len(starts), args[1], float(args[2]))
             case "running":
-                here = sum(1 for key, places in self.oracle.where.items() if key[0] == name and places)
-                return _compare(here, plain[1], float(plain[2]))
+                running = sum(1 for key, places in self.oracle.running_on.items() if key[0] == name and places)
+                return _compare(running, args[1], float(args[2]))
             case "started":
-                return len(starts) >= self.jobs[name]["portions"] and starts[-1][0] <= float(named["by"])
+                return len(starts) >= self.jobs[name]["portions"] and starts[-1][0] <= float(options["by"])
             case "zone":
-                return {self.oracle.zones[start[2]] for start in starts} == {plain[1]}
+                return {self.oracle.zones[start[2]] for start in starts} == {args[1]}
             case "reason":
-                return plain[1] in user.last_reason
+                return args[1] in user.last_reason
             case "machines":
-                return _compare(len({start[2] for start in starts}), plain[1], float(plain[2]))
-        raise ValueError(f"unknown expectation {plain[0]}")
+                return _compare(len({start[2] for start in starts}), args[1], float(args[2]))
+        raise ValueError(f"unknown expectation {args[0]}")
 
 
-def _compare(value: float, sign: str, bound: float) -> bool:
-    return {"<=": value <= bound, ">=": value >= bound, "is": value == bound}[sign]
+def _compare(value: float, operator: str, bound: float) -> bool:
+    return {"<=": value <= bound, ">=": value >= bound, "is": value == bound}[operator]
 
 
 def play(path: Path, seed: int) -> Scenario:
+    """Run a scenario file."""
     return Scenario(path.read_text(encoding="utf-8"), seed).run()
--- a/src/gladecroft/lab/simulation.py
+++ b/src/gladecroft/lab/simulation.py
@@ -1,4 +1,4 @@
-"""Virtual time, the network, and the controllers that run in it."""
+"""Discrete-event simulation: virtual time, the network between hosts, and the controllers that run in it."""
 
 from __future__ import annotations
 
@@ -28,231 +28,245 @@
 from gladecroft.protocol.settings import OperatorSettings, PlatformSettings
 from gladecroft.service import PEER_REQUESTS
 
-START = datetime(2026, 1, 1, tzinfo=UTC)
-TICK = timedelta(milliseconds=100)
+#: Wall-clock time at virtual time 0.
+WALL_CLOCK_START = datetime(2026, 1, 1, tzinfo=UTC)
+TICK_INTERVAL = timedelta(milliseconds=100)
 
 
 def seconds(value: float) -> timedelta:
+    """A duration of so many seconds."""
     return timedelta(seconds=value)
 
 
-class World:
-    """A heap of things to do, and the cuts between hosts."""
+class Simulation:
+    """A queue of callbacks in virtual time, and a network that delays messages and can be partitioned."""
 
     def __init__(self, seed: int) -> None:
         self.now = timedelta(seconds=1000)
-        self.origin = self.now
-        self.random = random.Random(seed)
+        self.start_time = self.now
+        self.rng = random.Random(seed)
         self._heap: list[tuple[timedelta, int, Callable[[], None]]] = []
-        self._order = itertools.count()
-        #: What each message takes more than usual, at the most.
-        self.slow_links = timedelta()
-        self._cuts: list[tuple[Callable[[str, str], bool], str, list[Callable[[], None]]]] = []
+        self._sequence = itertools.count()
+        #: Upper bound of the latency that is added to each message.
+        self.max_extra_latency = timedelta()
+        #: Per partition: which pairs of hosts it separates, its mode and the messages it holds back.
+        self._partitions: list[tuple[Callable[[str, str], bool], str, list[Callable[[], None]]]] = []
 
     def elapsed(self) -> float:
-        return (self.now - self.origin).total_seconds()
+        """Seconds of virtual time since the start."""
+        return (self.now - self.start_time).total_seconds()
 
-    def later(self, delay: timedelta, do: Callable[[], None]) -> None:
-        heapq.heappush(self._heap, (self.now + delay, next(self._order), do))
+    def call_later(self, delay: timedelta, callback: Callable[[], None]) -> None:
+        """Run the callback after the delay."""
+        heapq.heappush(self._heap, (self.now + delay, next(self._sequence), callback))
 
-    def at(self, offset: timedelta, do: Callable[[], None]) -> None:
-        heapq.heappush(self._heap, (max(self.now, self.origin + offset), next(self._order), do))
+    def call_at(self, offset: timedelta, callback: Callable[[], None]) -> None:
+        """Run the callback when so much time has passed since the start, or at once if it has passed already."""
+        heapq.heappush(self._heap, (max(self.now, self.start_time + offset), next(self._sequence), callback))
 
     def run_until(self, offset: timedelta) -> None:
-        end = self.origin + offset
+        """Run every callback that is due up to this time since the start."""
+        end = self.start_time + offset
         while self._heap and self._heap[0][0] <= end:
-            self.now, _, do = heapq.heappop(self._heap)
-            do()
+            self.now, _, callback = heapq.heappop(self._heap)
+            callback()
         self.now = end
 
     def latency(self) -> timedelta:
-        usual = seconds(self.random.uniform(0.0005, 0.004))
-        return usual + self.slow_links * self.random.random() if self.slow_links else usual
+        """A random network latency for one message."""
+        base = seconds(self.rng.uniform(0.0005, 0.004))
+        return base + self.max_extra_latency * self.rng.random() if self.max_extra_latency else base
 
-    def cut(self, matches: Callable[[str, str], bool], mode: str, span: timedelta) -> None:
-        """Between the hosts that match, packets are lost or held back until the cut is over."""
-        entry = (matches, mode, list[Callable[[], None]]())
-        self._cuts.append(entry)
+    def partition(self, matches: Callable[[str, str], bool], mode: str, duration: timedelta) -> None:
+        """Separate the pairs of hosts that match. Mode ``hold`` delivers their messages when the partition ends, any
+        other mode drops them."""
+        partition = (matches, mode, list[Callable[[], None]]())
+        self._partitions.append(partition)
 
         def heal() -> None:
-            self._cuts.remove(entry)
-            for do in entry[2]:
-                self.later(self.latency(), do)
+            self._partitions.remove(partition)
+            for deliver in partition[2]:
+                self.call_later(self.latency(), deliver)
 
-        self.later(span, heal)
+        self.call_later(duration, heal)
 
     def reachable(self, one: str, other: str) -> bool:
-        return not any(matches(one, other) for matches, _, _ in self._cuts)
+        """Whether no partition separates the two hosts."""
+        return not any(matches(one, other) for matches, _, _ in self._partitions)
 
-    def send(self, source: str, target: str, do: Callable[[], None]) -> None:
-        for matches, mode, held in self._cuts:
+    def send(self, source: str, target: str, deliver: Callable[[], None]) -> None:
+        """Deliver a message after a random latency; if a partition separates the hosts, lose it or hold it back."""
+        for matches, mode, delayed in self._partitions:
             if matches(source, target):
                 if mode == "hold":
-                    held.append(do)
+                    delayed.append(deliver)
                 return
-        self.later(self.latency(), do)
+        self.call_later(self.latency(), deliver)
 
 
-class Controller:
-    """One controller: a core, its calls and their time-outs. Dead between a crash and its restart."""
+class SimulatedController:
+    """Runs a controller's core and carries out its calls, timeouts included. Has no core while it is down."""
 
-    def __init__(self, world: World, platform: PlatformSettings, operator_settings: OperatorSettings) -> None:
-        self.world = world
+    def __init__(self, sim: Simulation, platform: PlatformSettings, operator_settings: OperatorSettings) -> None:
+        self.sim = sim
         self.platform = platform
         self.operator_settings = operator_settings
         self.name = platform.name
-        self.state: StateLike | None = None
-        self.cloud: CloudLike | None = None
-        self.workers: dict[str, WorkerLike] = {}
-        self.peers: dict[str, Controller] = {}
+        self.state: StateServer | None = None
+        self.cloud: CloudServer | None = None
+        self.workers: dict[str, WorkerServer] = {}
+        self.peers_by_addr: dict[str, SimulatedController] = {}
         self.core: Core | None = None
-        self.life = 0
-        self._numbers = 0
-        self._waiting: dict[int, Callable[[Reply], None]] = {}
-        self._events: list[Event] = []
-        self._stepping = False
+        self.run_number = 0
+        self._last_request_id = 0
+        self._reply_callbacks: dict[int, Callable[[Reply], None]] = {}
+        self._pending_events: list[Event] = []
+        self._step_scheduled = False
         self._frozen = False
-        self.drift = 1 + world.random.uniform(0, 0.0005)
+        self.clock_rate = 1 + sim.rng.uniform(0, 0.0005)
 
     @property
     def alive(self) -> bool:
         return self.core is not None
 
     def start(self) -> None:
-        self.life += 1
+        """Start with an empty core, as a new process does."""
+        self.run_number += 1
         self.core = Core(self.platform, self.operator_settings)
-        self._waiting.clear()
-        self._events.clear()
-        self._stepping = False
-        self._tick(self.life)
+        self._reply_callbacks.clear()
+        self._pending_events.clear()
+        self._step_scheduled = False
+        self._tick(self.run_number)
 
     def crash(self) -> None:
+        """Stop at once. Calls of the old run complete without effect."""
         self.core = None
-        self.life += 1
+        self.run_number += 1
         self._frozen = False
 
-    def freeze(self, span: timedelta) -> None:
-        """It stands still while its clocks run on; what comes meanwhile waits for it."""
-        life = self.life
+    def freeze(self, duration: timedelta) -> None:
+        """Suspend it while its clocks continue to run. Events that arrive meanwhile are processed when it resumes."""
+        run_number = self.run_number
         self._frozen = True
 
-        def wake() -> None:
-            if life == self.life:
+        def resume() -> None:
+            if run_number == self.run_number:
                 self._frozen = False
-                if self._stepping:
-                    self._step(life)
+                if self._step_scheduled:
+                    self._step(run_number)
 
-        self.world.later(span, wake)
+        self.sim.call_later(duration, resume)
 
-    def _tick(self, life: int) -> None:
-        if life == self.life and self.core is not None:
+    def _tick(self, run_number: int) -> None:
+        if run_number == self.run_number and self.core is not None:
             self._schedule()
-            self.world.later(TICK, lambda: self._tick(life))
+            self.sim.call_later(TICK_INTERVAL, lambda: self._tick(run_number))
 
-    def ask(self, verb: RequestKind, body: bytes, job: str, then: Callable[[Reply], None]) -> None:
+    def handle_request(self, kind: RequestKind, body: bytes, job: str, on_reply: Callable[[Reply], None]) -> None:
+        """Pass a request to the core. ``on_reply`` is not called if the controller is down or crashes first."""
         if self.core is None:
             return
-        self._numbers += 1
-        self._waiting[self._numbers] = then
-        self._put(self.life, IncomingRequest(self._numbers, verb, body, job))
+        self._last_request_id += 1
+        self._reply_callbacks[self._last_request_id] = on_reply
+        self._put(self.run_number, IncomingRequest(self._last_request_id, kind, body, job))
 
-    def _put(self, life: int, event: Event) -> None:
-        if life == self.life and self.core is not None:
-            self._events.append(event)
+    def _put(self, run_number: int, event: Event) -> None:
+        if run_number == self.run_number and self.core is not None:
+            self._pending_events.append(event)
             self._schedule()
 
     def _schedule(self) -> None:
-        if not self._stepping:
-            self._stepping = True
-            life = self.life
-            self.world.later(timedelta(milliseconds=1), lambda: self._step(life))
+        if not self._step_scheduled:
+            self._step_scheduled = True
+            run_number = self.run_number
+            self.sim.call_later(timedelta(milliseconds=1), lambda: self._step(run_number))
 
-    def _step(self, life: int) -> None:
-        if life != self.life or self.core is None or self._frozen:
+    def _step(self, run_number: int) -> None:
+        if run_number != self.run_number or self.core is None or self._frozen:
             return
-        self._stepping = False
-        events, self._events = self._events, []
-        steady = self.world.now * self.drift
-        clock = ClockReading(steady, START + self.world.now)
+        self._step_scheduled = False
+        events, self._pending_events = self._pending_events, []
+        monotonic = self.sim.now * self.clock_rate
+        clock = ClockReading(monotonic, WALL_CLOCK_START + self.sim.now)
         for effect in self.core.step(clock, events):
             if isinstance(effect, Reply):
-                then = self._waiting.pop(effect.request_id, None)
-                if then is not None:
-                    then(effect)
+                on_reply = self._reply_callbacks.pop(effect.request_id, None)
+                if on_reply is not None:
+                    on_reply(effect)
             elif isinstance(effect, StartWatch):
                 self._watch(effect)
             else:
                 self._call(effect)
 
     def _call(self, call: OutgoingCall) -> None:
-        life = self.life
-        open_calls = {"open": True}
+        run_number = self.run_number
+        call_state = {"open": True}
 
-        def answer(status: int, body: bytes) -> None:
-            if open_calls["open"]:
-                open_calls["open"] = False
-                self._put(life, CallResult(call.call_id, status, body))
+        def complete(status: int, body: bytes) -> None:
+            if call_state["open"]:
+                call_state["open"] = False
+                self._put(run_number, CallResult(call.call_id, status, body))
 
-        self.world.later(call.timeout, lambda: answer(0, b""))
+        self.sim.call_later(call.timeout, lambda: complete(0, b""))
         assert self.state is not None and self.cloud is not None
         if call.target is Target.PEER:
-            peer = self.peers[call.addr]
-            verb = PEER_REQUESTS[call.path]
+            peer = self.peers_by_addr[call.addr]
+            kind = PEER_REQUESTS[call.path]
 
-            def back(result: Reply) -> None:
-                self.world.send(peer.name, self.name, lambda: answer(result.status, result.body))
+            def send_back(result: Reply) -> None:
+                self.sim.send(peer.name, self.name, lambda: complete(result.status, result.body))
 
-            self.world.send(self.name, peer.name, lambda: peer.ask(verb, call.body or b"", "", back))
+            self.sim.send(self.name, peer.name, lambda: peer.handle_request(kind, call.body or b"", "", send_back))
             return
         if call.target is Target.WORKER:
             worker = self.workers.get(call.addr)
             if worker is None:
-                self.world.later(seconds(0.001), lambda: answer(-1, b""))
+                self.sim.call_later(seconds(0.001), lambda: complete(-1, b""))
                 return
             target: str = worker.name
-            run = worker.direct
+            serve = worker.serve
         elif call.target is Target.STATE:
-            target, run = "state", self.state.serve
+            target, serve = "state", self.state.serve
         else:
-            target, run = "cloud", self.cloud.serve
+            target, serve = "cloud", self.cloud.serve
 
         def reply(status: int, body: bytes) -> None:
-            self.world.send(target, self.name, lambda: answer(status, body))
+            self.sim.send(target, self.name, lambda: complete(status, body))
 
-        self.world.send(self.name, target, lambda: run(self.name, call.method, call.path, call.body or b"", reply))
+        self.sim.send(self.name, target, lambda: serve(self.name, call.method, call.path, call.body or b"", reply))
 
     def _watch(self, watch: StartWatch) -> None:
-        life = self.life
+        run_number = self.run_number
         state = self.state
         assert state is not None
 
-        def answer(status: int, body: bytes) -> None:
+        def complete(status: int, body: bytes) -> None:
             event = WatchResult(failed=True)
             if status == 200:
                 event = WatchResult(wire.decode(wire.WatchReply, body))
             elif status == 410:
                 event = WatchResult(gap=True)
-            self._put(life, event)
+            self._put(run_number, event)
 
-        done = {"open": True}
+        watch_state = {"open": True}
 
-        def once(status: int, body: bytes) -> None:
-            if done["open"]:
-                done["open"] = False
-                answer(status, body)
+        def complete_once(status: int, body: bytes) -> None:
+            if watch_state["open"]:
+                watch_state["open"] = False
+                complete(status, body)
 
         def reply(status: int, body: bytes) -> None:
-            self.world.send("state", self.name, lambda: once(status, body))
+            self.sim.send("state", self.name, lambda: complete_once(status, body))
 
-        self.world.later(seconds(13), lambda: once(0, b""))
-        self.world.send(self.name, "state", lambda: state.watch(self.name, watch.after, seconds(10), reply))
+        self.sim.call_later(seconds(13), lambda: complete_once(0, b""))
+        self.sim.send(self.name, "state", lambda: state.watch(self.name, watch.after, seconds(10), reply))
 
 
-Replier = Callable[[int, bytes], None]
+ReplyCallback = Callable[[int, bytes], None]
 
 
-class Front(Protocol):
-    """A controller as its users and workers see it."""
+class ControllerEndpoint(Protocol):
+    """A controller as users and workers address it."""
 
     @property
     def name(self) -> str: ...
@@ -260,24 +274,31 @@
     @property
     def alive(self) -> bool: ...
 
-    def ask(self, verb: RequestKind, body: bytes, job: str, then: Callable[[Reply], None]) -> None: ...
+    def handle_request(self, kind: RequestKind, body: bytes, job: str, on_reply: Callable[[Reply], None]) -> None: ...
 
 
-class StateLike:
-    def serve(self, node: str, method: str, path: str, body: bytes, reply: Replier) -> None: ...
+class StateServer:
+    """The state service as controllers address it. A reply is passed to ``reply``, at once or later."""
 
-    def watch(self, node: str, after: int, wait: timedelta, reply: Replier) -> None: ...
+    def serve(self, node: str, method: str, path: str, body: bytes, reply: ReplyCallback) -> None: ...
 
+    def watch(self, node: str, after: int, timeout: timedelta, reply: ReplyCallback) -> None: ...
 
-class CloudLike:
-    def serve(self, node: str, method: str, path: str, body: bytes, reply: Replier) -> None: ...
 
+class CloudServer:
+    """The cloud as controllers address it."""
+
+    def serve(self, node: str, method: str, path: str, body: bytes, reply: ReplyCallback) -> None: ...
+
+
+class WorkerServer:
+    """A worker as controllers address it."""
 
-class WorkerLike:
     name: str
 
-    def direct(self, node: str, method: str, path: str, body: bytes, reply: Replier) -> None: ...
+    def serve(self, node: str, method: str, path: str, body: bytes, reply: ReplyCallback) -> None: ...
 
 
-def raw(value: object) -> bytes:
+def encode_json(value: object) -> bytes:
+    """The value as JSON."""
     return msgspec.json.encode(value)
--- a/src/gladecroft/lab/state_service.py
+++ b/src/gladecroft/lab/state_service.py
@@ -1,4 +1,5 @@
-"""The state service as PROTOCOL describes it, in virtual time."""
+"""A simulated state service, as PROTOCOL describes it: keys with revisions, conditional transactions, leases, watches
+and rate limits, with faults that scenarios inject."""
 
 from __future__ import annotations
 
@@ -8,113 +9,131 @@
 
 import msgspec
 
-from gladecroft.lab.simulation import Replier, StateLike, World, raw, seconds
+from gladecroft.lab.simulation import ReplyCallback, Simulation, StateServer, encode_json, seconds
 
 Json = dict[str, Any]
 
 
-#: How long a request usually takes.
-USUAL = seconds(0.003)
+#: Time that a request takes unless a scenario slows the service down.
+DEFAULT_LATENCY = seconds(0.003)
 
 
-class StateService(StateLike):
-    def __init__(self, world: World, rps: float, write_rps: float) -> None:
-        self.world = world
+class SimulatedStateService(StateServer):
+    """The records, the log of their changes, leases and open watches; and the faults in force."""
+
+    def __init__(self, sim: Simulation, rps: float, write_rps: float) -> None:
+        self.sim = sim
         self.revision = 1
-        self.keys: dict[str, tuple[Any, int, int | None]] = {}
+        #: Value, revision and lease of each key.
+        self.entries: dict[str, tuple[Any, int, int | None]] = {}
+        #: Key, value (None if deleted) and revision of each change.
         self.log: list[tuple[str, Any, int]] = []
+        #: TTL and expiry of each lease.
         self.leases: dict[int, tuple[timedelta, timedelta]] = {}
         self.next_lease = 1
         self.outage = False
-        self.refused: set[str] = set()
-        self.watches: list[tuple[str, int, Replier]] = []
-        self.lose_answers = 0.0
-        self.late = 0.0
-        #: What part of the transactions that change something gets no answer and is carried out 2 to 12 s later, after
-        #: newer ones; and how long every answer takes.
-        self.late_writes = 0.0
-        #: What part of them is carried out at once, and only the answer is lost.
-        self.lose_writes = 0.0
-        self.delay = USUAL
-        #: How much later every watch brings what has changed.
+        self.refused_controllers: set[str] = set()
+        self.open_watches: list[tuple[str, int, ReplyCallback]] = []
+        #: Probability that a request is executed at once and its response is lost.
+        self.response_loss_rate = 0.0
+        #: Probability that a request gets no response and is executed 0.5 to 20 s later.
+        self.delayed_rate = 0.0
+        #: Probability that a transaction with writes gets no response and is executed 2 to 12 s later, after newer
+        #: transactions.
+        self.delayed_write_rate = 0.0
+        #: Probability that a transaction with writes is executed at once and its response is lost.
+        self.write_response_loss_rate = 0.0
+        self.latency = DEFAULT_LATENCY
+        #: Additional delay of every watch response.
         self.watch_delay = seconds(0.0)
-        self.kept = 10_000
-        self.first = 1
-        self._rate = [rps, rps, 0.0]
-        self._writes = [write_rps, write_rps, 0.0]
-        self.refusals = 0
-        self._expire()
-
-    def _expire(self) -> None:
+        self.max_log_entries = 10_000
+        self.first_logged_revision = 1
+        #: Token buckets: rate, available tokens and time of the last refill.
+        self._request_bucket = [rps, rps, 0.0]
+        self._write_bucket = [write_rps, write_rps, 0.0]
+        self.throttled_count = 0
+        self._expire_leases()
+
+    def _expire_leases(self) -> None:
         if not self.outage:
-            for lease, (_, ends) in list(self.leases.items()):
-                if self.world.now >= ends:
-                    self._end(lease)
-        self.world.later(seconds(0.05), self._expire)
+            for lease, (_, expires_at) in list(self.leases.items()):
+                if self.sim.now >= expires_at:
+                    self._end_lease(lease)
+        self.sim.call_later(seconds(0.05), self._expire_leases)
 
-    def _end(self, lease: int) -> None:
+    def _end_lease(self, lease: int) -> None:
         del self.leases[lease]
-        gone = [key for key, entry in self.keys.items() if entry[2] == lease]
-        if gone:
+        expired = [key for key, entry in self.entries.items() if entry[2] == lease]
+        if expired:
             self.revision += 1
-            for key in gone:
-                del self.keys[key]
+            for key in expired:
+                del self.entries[key]
                 self.log.append((key, None, self.revision))
-            self._wake()
+            self._notify_watches()
 
     def set_outage(self, on: bool) -> None:
+        """Begin or end an outage. No lease expires during it, and all have their full TTL afterwards."""
         self.outage = on
         if not on:
             for lease, (ttl, _) in self.leases.items():
-                self.leases[lease] = (ttl, self.world.now + ttl)
-            self._wake()
+                self.leases[lease] = (ttl, self.sim.now + ttl)
+            self._notify_watches()
 
-    def accept(self, node: str) -> None:
-        self.refused.discard(node)
-        self._wake()
+    def stop_refusing(self, controller: str) -> None:
+        """Serve a controller again."""
+        self.refused_controllers.discard(controller)
+        self._notify_watches()
 
-    def be_late(self, late: float, lose: float) -> None:
-        self.late, self.lose_answers = late, lose
+    def set_request_faults(self, delayed_rate: float, response_loss_rate: float) -> None:
+        """Set which part of all requests is delayed, and of which part the response is lost."""
+        self.delayed_rate, self.response_loss_rate = delayed_rate, response_loss_rate
 
-    def _take(self, bucket: list[float], amount: float) -> bool:
-        now = self.world.elapsed()
+    def _consume(self, bucket: list[float], amount: float) -> bool:
+        """Take tokens from a bucket; whether there were enough."""
+        now = self.sim.elapsed()
         bucket[1] = min(bucket[0], bucket[1] + bucket[0] * (now - bucket[2]))
         bucket[2] = now
         if bucket[1] < amount:
-            self.refusals += 1
+            self.throttled_count += 1
             return False
         bucket[1] -= amount
         return True
 
-    def serve(self, node: str, method: str, path: str, body: bytes, reply: Replier) -> None:
-        if self.outage or node in self.refused:
+    def serve(self, node: str, method: str, path: str, body: bytes, reply: ReplyCallback) -> None:
+        """Handle any request but a watch, with the faults in force."""
+        if self.outage or node in self.refused_controllers:
             reply(503, b"{}")
             return
-        if not self._take(self._rate, 1):
+        if not self._consume(self._request_bucket, 1):
             reply(429, b"{}")
             return
-        random = self.world.random
-        if random.random() < self.late:
-            # The answer is lost and the request is executed later.
-            self.world.later(seconds(random.uniform(0.5, 20)), lambda: self._do(method, path, body, lambda s, b: None))
+        rng = self.sim.rng
+        if rng.random() < self.delayed_rate:
+            self.sim.call_later(
+                seconds(rng.uniform(0.5, 20)), lambda: self._execute(method, path, body, lambda s, b: None)
+            )
             return
-        if self.late_writes and b'"apply"' in body and random.random() < self.late_writes:
-            self.world.later(seconds(random.uniform(2, 12)), lambda: self._do(method, path, body, lambda s, b: None))
+        if self.delayed_write_rate and b'"apply"' in body and rng.random() < self.delayed_write_rate:
+            self.sim.call_later(
+                seconds(rng.uniform(2, 12)), lambda: self._execute(method, path, body, lambda s, b: None)
+            )
             return
-        lost = self.lose_writes if b'"apply"' in body else 0.0
-        answer: Replier = (lambda s, b: None) if random.random() < max(self.lose_answers, lost) else reply
-        if self.delay <= USUAL:
-            self.world.later(self.delay, lambda: self._do(method, path, body, answer))
+        loss_rate = self.write_response_loss_rate if b'"apply"' in body else 0.0
+        responder: ReplyCallback = (
+            (lambda s, b: None) if rng.random() < max(self.response_loss_rate, loss_rate) else reply
+        )
+        if self.latency <= DEFAULT_LATENCY:
+            self.sim.call_later(self.latency, lambda: self._execute(method, path, body, responder))
             return
-        # Part of the time passes before it is carried out and part after it: an answer may be as old as that.
-        after = self.delay * random.random()
+        # Part of the latency passes after the execution, so a response may be that old when it arrives.
+        return_delay = self.latency * rng.random()
 
-        def held(*got: Any) -> None:
-            self.world.later(after, lambda: answer(*got))
+        def respond_late(*response: Any) -> None:
+            self.sim.call_later(return_delay, lambda: responder(*response))
 
-        self.world.later(self.delay - after, lambda: self._do(method, path, body, held))
+        self.sim.call_later(self.latency - return_delay, lambda: self._execute(method, path, body, respond_late))
 
-    def _do(self, method: str, path: str, body: bytes, reply: Replier) -> None:
+    def _execute(self, method: str, path: str, body: bytes, reply: ReplyCallback) -> None:
         url = urlsplit(path)
         if self.outage:
             reply(503, b"{}")
@@ -123,93 +142,96 @@
         elif url.path == "/grants":
             ttl = seconds(msgspec.json.decode(body)["ttlMs"] / 1000)
             lease, self.next_lease = self.next_lease, self.next_lease + 1
-            self.leases[lease] = (ttl, self.world.now + ttl)
-            reply(200, raw({"tenure": lease}))
+            self.leases[lease] = (ttl, self.sim.now + ttl)
+            reply(200, encode_json({"tenure": lease}))
         elif url.path.endswith("/renew"):
             lease = int(url.path.split("/")[2])
             if lease in self.leases:
                 ttl = self.leases[lease][0]
-                self.leases[lease] = (ttl, self.world.now + ttl)
+                self.leases[lease] = (ttl, self.sim.now + ttl)
                 reply(200, b"{}")
             else:
                 reply(404, b"{}")
         elif url.path == "/store":
             query = {name: values[0] for name, values in parse_qs(url.query).items()}
-            names = sorted(key for key in self.keys if key.startswith(query["prefix"]) and key > query.get("after", ""))
-            page = names[: int(query["page"])]
-            pairs = [{"key": key, "data": self.keys[key][0], "stamp": self.keys[key][1]} for key in page]
-            reply(200, raw({"pairs": pairs, "truncated": len(page) < len(names), "ledger": self.revision}))
+            matching = sorted(
+                key for key in self.entries if key.startswith(query["prefix"]) and key > query.get("after", "")
+            )
+            page = matching[: int(query["page"])]
+            pairs = [{"key": key, "data": self.entries[key][0], "stamp": self.entries[key][1]} for key in page]
+            reply(200, encode_json({"pairs": pairs, "truncated": len(page) < len(matching), "ledger": self.revision}))
         elif url.path.startswith("/store/"):
             key = url.path[len("/store/") :]
-            if key in self.keys:
-                value, stamp, lease_of = self.keys[key]
-                reply(200, raw({"key": key, "data": value, "stamp": stamp, "tenure": lease_of}))
+            if key in self.entries:
+                value, revision, key_lease = self.entries[key]
+                reply(200, encode_json({"key": key, "data": value, "stamp": revision, "tenure": key_lease}))
             else:
-                reply(404, raw({"ledger": self.revision}))
+                reply(404, encode_json({"ledger": self.revision}))
         else:
             reply(400, b"{}")
 
-    def _commit(self, txn: Json, reply: Replier) -> None:
+    def _commit(self, txn: Json, reply: ReplyCallback) -> None:
         ops = txn.get("apply") or []
-        if ops and not self._take(self._writes, len(ops)):
+        if ops and not self._consume(self._write_bucket, len(ops)):
             reply(429, b"{}")
             return
         for op in ops:
             if "write" in op and op.get("tenure") is not None and op["tenure"] not in self.leases:
-                reply(400, raw({"error": "no such lease"}))
+                reply(400, encode_json({"error": "no such lease"}))
                 return
         failed = [
             condition["key"] for condition in txn["if"]
-            if (self.keys[condition["key"]][1] if condition["key"] in self.keys else 0) != condition["stamp"]
+            if (self.entries[condition["key"]][1] if condition["key"] in self.entries else 0) != condition["stamp"]
         ]  # fmt: skip
         if failed:
-            reply(409, raw({"failed": failed, "ledger": self.revision}))
+            reply(409, encode_json({"failed": failed, "ledger": self.revision}))
             return
         if ops:
             self.revision += 1
             for op in ops:
                 if "write" in op:
-                    self.keys[op["write"]] = (op["data"], self.revision, op.get("tenure"))
+                    self.entries[op["write"]] = (op["data"], self.revision, op.get("tenure"))
                     self.log.append((op["write"], op["data"], self.revision))
                 else:
-                    self.keys.pop(op["drop"], None)
+                    self.entries.pop(op["drop"], None)
                     self.log.append((op["drop"], None, self.revision))
-            while len(self.log) > self.kept:
-                self.first = self.log.pop(0)[2] + 1
-            self._wake()
-        reply(200, raw({"ledger": self.revision}))
-
-    def watch(self, node: str, after: int, wait: timedelta, reply: Replier) -> None:
-        if after + 1 < self.first:
+            while len(self.log) > self.max_log_entries:
+                self.first_logged_revision = self.log.pop(0)[2] + 1
+            self._notify_watches()
+        reply(200, encode_json({"ledger": self.revision}))
+
+    def watch(self, node: str, after: int, timeout: timedelta, reply: ReplyCallback) -> None:
+        """Reply with the changes after a revision, as soon as there are any or after the timeout."""
+        if after + 1 < self.first_logged_revision:
             reply(410, b"{}")
             return
-        entry = (node, after, reply)
-        self.watches.append(entry)
+        watch = (node, after, reply)
+        self.open_watches.append(watch)
 
         def end() -> None:
-            if entry in self.watches and not self.outage and node not in self.refused:
-                self.watches.remove(entry)
-                self._answer(entry)
+            if watch in self.open_watches and not self.outage and node not in self.refused_controllers:
+                self.open_watches.remove(watch)
+                self._complete_watch(watch)
 
-        self.world.later(wait, end)
-        self._wake()
+        self.sim.call_later(timeout, end)
+        self._notify_watches()
 
-    def _answer(self, entry: tuple[str, int, Replier]) -> None:
+    def _complete_watch(self, watch: tuple[str, int, ReplyCallback]) -> None:
         events = [
-            {"drop": key, "stamp": stamp} if value is None else {"write": key, "data": value, "stamp": stamp}
-            for key, value, stamp in self.log
-            if stamp > entry[1]
+            {"drop": key, "stamp": revision} if value is None else {"write": key, "data": value, "stamp": revision}
+            for key, value, revision in self.log
+            if revision > watch[1]
         ]
-        reply, found = entry[2], raw({"ledger": self.revision, "log": events})
+        reply, changes = watch[2], encode_json({"ledger": self.revision, "log": events})
         if self.watch_delay:
-            self.world.later(self.watch_delay, lambda: reply(200, found))
+            self.sim.call_later(self.watch_delay, lambda: reply(200, changes))
         else:
-            reply(200, found)
+            reply(200, changes)
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         if self.outage:
             return
-        for entry in list(self.watches):
-            if entry[0] not in self.refused and self.log and self.log[-1][2] > entry[1]:
-                self.watches.remove(entry)
-                self._answer(entry)
+        for watch in list(self.open_watches):
+            if watch[0] not in self.refused_controllers and self.log and self.log[-1][2] > watch[1]:
+                self.open_watches.remove(watch)
+                self._complete_watch(watch)
--- a/src/gladecroft/lab/user.py
+++ b/src/gladecroft/lab/user.py
@@ -1,4 +1,4 @@
-"""A user who submits, polls and cancels one job."""
+"""A simulated user who submits, polls and cancels one job."""
 
 from __future__ import annotations
 
@@ -9,99 +9,105 @@
 
 from gladecroft.coordination.events import Reply, RequestKind
 from gladecroft.lab.oracle import Oracle
-from gladecroft.lab.simulation import Front, World, raw, seconds
+from gladecroft.lab.simulation import ControllerEndpoint, Simulation, encode_json, seconds
 
 Json = dict[str, Any]
 
 
-class User:
-    """Submits one job, retries, polls it to its end, and cancels it if told to."""
+class SimulatedUser:
+    """Submits one job with retries, polls it from then on, and cancels it on demand. The oracle sees every response."""
 
-    def __init__(self, world: World, controllers: Sequence[Front], oracle: Oracle, spec: Json) -> None:
-        self.world = world
+    def __init__(self, sim: Simulation, controllers: Sequence[ControllerEndpoint], oracle: Oracle, spec: Json) -> None:
+        self.sim = sim
         self.controllers = controllers
         self.oracle = oracle
         self.spec = spec
         self.id: str = spec["nameId"]
         self.accepted = False
-        self.answers: list[tuple[float, str, int, str]] = []
+        self.responses: list[tuple[float, str, int, str]] = []
         self.last_reason = ""
         self.cancelling = False
 
-    def _ask(
+    def _request(
         self,
-        verb: RequestKind,
+        kind: RequestKind,
         body: bytes,
-        limit: float,
-        then: Callable[[Reply | None], None],
-        to: Front | None = None,
+        timeout_s: float,
+        on_reply: Callable[[Reply | None], None],
+        controller: ControllerEndpoint | None = None,
     ) -> None:
-        """Ask one of the controllers that are up, or the one named."""
-        live = [controller for controller in self.controllers if controller.alive]
-        if not live:
-            self.world.later(seconds(0.5), lambda: then(None))
+        """Send a request to the controller, or to any that is up. ``on_reply`` gets None on a timeout or if none is
+        up."""
+        available = [each for each in self.controllers if each.alive]
+        if not available:
+            self.sim.call_later(seconds(0.5), lambda: on_reply(None))
             return
-        controller = to or self.world.random.choice(live)
-        state = {"open": True}
-        sent = self.world.elapsed()
+        target = controller or self.sim.rng.choice(available)
+        call_state = {"open": True}
+        sent_at = self.sim.elapsed()
 
-        def answer(reply: Reply | None) -> None:
-            if state["open"]:
-                state["open"] = False
+        def complete(reply: Reply | None) -> None:
+            if call_state["open"]:
+                call_state["open"] = False
                 if reply is not None:
                     text = reply.body.decode()
-                    self.answers.append((self.world.elapsed(), verb.value, reply.status, text))
-                    self.oracle.answered(self.id, verb, reply.status, reply.body, sent)
-                then(reply)
+                    self.responses.append((self.sim.elapsed(), kind.value, reply.status, text))
+                    self.oracle.response_received(self.id, kind, reply.status, reply.body, sent_at)
+                on_reply(reply)
 
-        self.world.later(seconds(limit), lambda: answer(None))
-        asked = controller.name
+        self.sim.call_later(seconds(timeout_s), lambda: complete(None))
+        name = target.name
 
         def arrive() -> None:
-            controller.ask(verb, body, self.id, lambda got: self.world.send(asked, "user", lambda: answer(got)))
+            target.handle_request(
+                kind, body, self.id, lambda reply: self.sim.send(name, "user", lambda: complete(reply))
+            )
 
-        self.world.send("user", asked, arrive)
+        self.sim.send("user", name, arrive)
 
-    def submit(self, until: float | None = None) -> None:
-        until = self.world.elapsed() + 60 if until is None else until
+    def submit(self, retry_until: float | None = None) -> None:
+        """Submit the job, and again for 60 s until it is accepted or rejected; poll it from then on."""
+        retry_until = self.sim.elapsed() + 60 if retry_until is None else retry_until
 
-        def then(reply: Reply | None) -> None:
+        def on_reply(reply: Reply | None) -> None:
             if reply is not None and reply.status in (200, 201):
                 self.accepted = True
-                self.world.later(seconds(self.world.random.uniform(1, 5)), self.poll)
+                self.sim.call_later(seconds(self.sim.rng.uniform(1, 5)), self.poll)
             elif reply is not None and reply.status in (400, 422):
                 return
-            elif self.world.elapsed() < until:
+            elif self.sim.elapsed() < retry_until:
                 wait = max(1, (reply.retry_after or 1) if reply is not None else 1)
-                self.world.later(seconds(wait), lambda: self.submit(until))
+                self.sim.call_later(seconds(wait), lambda: self.submit(retry_until))
 
-        self._ask(RequestKind.SUBMIT, self.body(), 5, then)
+        self._request(RequestKind.SUBMIT, self.submission_body(), 5, on_reply)
 
-    def body(self) -> bytes:
-        """The submission as it is sent; how long the job runs is between the user and its workers."""
-        return raw({key: value for key, value in self.spec.items() if key not in ("runS", "broken")})
+    def submission_body(self) -> bytes:
+        """The submission as it is sent, without the fields that only the simulated workers read."""
+        return encode_json({key: value for key, value in self.spec.items() if key not in ("runS", "broken")})
 
-    def look(self, verb: RequestKind, to: Front) -> None:
-        """One more question to one controller, whatever else is asked; the oracle sees the answer."""
-        body = self.body() if verb is RequestKind.SUBMIT else b""
-        self._ask(verb, body, 2 if verb is RequestKind.POLL else 5, lambda reply: None, to)
+    def send_request(self, kind: RequestKind, controller: ControllerEndpoint) -> None:
+        """Send one request to one controller, independent of the user's other requests and without retries."""
+        body = self.submission_body() if kind is RequestKind.SUBMIT else b""
+        self._request(kind, body, 2 if kind is RequestKind.POLL else 5, lambda reply: None, controller)
 
     def poll(self) -> None:
-        self.oracle.asks(self.id)
+        """Poll every 4 to 6 s, without end."""
+        self.oracle.request_sent(self.id)
 
-        def then(reply: Reply | None) -> None:
+        def on_reply(reply: Reply | None) -> None:
             if reply is not None and reply.status == 200:
-                message = msgspec.json.decode(reply.body)
-                self.last_reason = message.get("reason", self.last_reason)
-            self.world.later(seconds(self.world.random.uniform(4, 6)), self.poll)
+                status = msgspec.json.decode(reply.body)
+                self.last_reason = status.get("reason", self.last_reason)
+            self.sim.call_later(seconds(self.sim.rng.uniform(4, 6)), self.poll)
 
-        self._ask(RequestKind.POLL, b"", 2, then)
+        self._request(RequestKind.POLL, b"", 2, on_reply)
 
     def cancel(self) -> None:
-        self.oracle.cancel_asked(self.id)
+        """Cancel the job, and again until a response confirms it or says that the job is unknown."""
+        self.oracle.cancel_sent(self.id)
 
-        def then(reply: Reply | None) -> None:
+        def on_reply(reply: Reply | None) -> None:
             if reply is None or reply.status not in (200, 404):
-                self.world.later(seconds(1), self.cancel)
+                self.sim.call_later(seconds(1), self.cancel)
 
-        self._ask(RequestKind.CANCEL, b"", 5, then)
+        self._request(RequestKind.CANCEL, b"", 5, on_reply)
