--- a/src/gladecroft/coordination/membership/membership.py
+++ b/src/gladecroft/coordination/membership/membership.py
@@ -93,7 +93,7 @@
 
     def is_active(self) -> bool:
         """Whether this controller may act now. Also records since when it has been active."""
-        active = self._has_authority()
+        active = self._may_act_now()
         if active:
             if self.context.now - self._last_active_at > MAX_INACTIVE_GAP:
                 self._active_since = self.context.now
@@ -109,7 +109,7 @@
         """
         return self.is_active() and self.context.now - self._active_since >= duration
 
-    def _has_authority(self) -> bool:
+    def _may_act_now(self) -> bool:
         # A direct read may deliver the epoch before the changes that precede it. Acting on that mix could restart an
         # attempt whose exit a former owner has committed, so the watch must have reached the epoch.
         return self.caught_up() and self.context.now < self.active_until
--- a/src/gladecroft/protocol/wire.py
+++ b/src/gladecroft/protocol/wire.py
@@ -424,7 +424,7 @@
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise ValueError(str(error)) from None
     if not JOB_ID.match(spec.id):
-        raise ValueError("the job id must consist of wk- and up to 40 digits")
+        raise ValueError("the job id must be wk- and digits")
     for name in ("team", "image", "job_class"):
         if len(getattr(spec, name)) > 200:
             raise ValueError(f"{name} is too long")
--- a/tests/test_machine_report_faults.py
+++ b/tests/test_machine_report_faults.py
@@ -392,7 +392,7 @@
 ) -> None:
     # Users stop polling after the final state; otherwise polls would grow with the number of finished jobs.
     poll, cancel = SimulatedUser.poll, SimulatedUser.cancel
-    monkeypatch.setattr(SimulatedUser, "poll", lambda user: None if user.id in user.oracle.final else poll(user))
+    monkeypatch.setattr(SimulatedUser, "poll", lambda user: None if user.id in user.oracle.final_state else poll(user))
     cancel_requested_at: dict[str, float] = {}
 
     def record_cancel(user: SimulatedUser) -> None:
@@ -460,7 +460,7 @@
 
 def test_acting_without_a_lease_runs_tasks_twice_in_a_cut_off_zone(monkeypatch: pytest.MonkeyPatch) -> None:
     # The guard is disabled here; test_scenarios runs the scenarios with it.
-    monkeypatch.setattr(Membership, "_has_authority", Membership.caught_up)
+    monkeypatch.setattr(Membership, "_may_act_now", Membership.caught_up)
     assert "ran_twice" in findings((SCENARIO_DIR / "zone_cut.txt").read_text(encoding="utf-8"), 1)
 
 
