--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Starts gladecroft from a checkout, with the dependencies that the build installed in target/deps."""
+"""Starts gladecroft from a source checkout, with the dependencies that the build installed in target/deps."""
 
 import sys
 from pathlib import Path
--- a/src/gladecroft/bookkeeping/cluster_state.py
+++ b/src/gladecroft/bookkeeping/cluster_state.py
@@ -1,7 +1,7 @@
 """A controller's in-memory copy of the records in the state service.
 
 Updates come from listings, the watch and the controller's own commits, in any order. An update is applied only if its
-revision is above the one known for its key.
+revision is higher than the one known for its key.
 """
 
 from __future__ import annotations
@@ -23,34 +23,35 @@
 
 log = logging.getLogger(__name__)
 
-#: Final records kept in memory; older ones are read from the state service on demand.
+#: Final records cached in memory; older ones are read from the state service on demand.
 MAX_CACHED_FINALS = 5_000
-#: Rank where there is no task: less important than every priority.
+#: Priority rank of a machine without tasks; higher than the rank of any priority, as a higher rank is less important.
 NO_RANK = 1 << 30
 
 
 class ClusterState:
     """Jobs, tasks, machines, teams and members as recorded, with indexes over them.
 
-    It also holds what this controller knows ahead of the records: machines that have only reported, attempts that have
-    ended, and machines on which placement is suspended.
+    It also holds what this controller knows before it is recorded: machines that are known only by their reports,
+    attempts that have ended, and machines on which placement is suspended.
     """
 
     def __init__(self, teams: list[Team], value_kb: float) -> None:
-        self.limits = {team.name: team for team in teams}
+        self.team_settings = {team.name: team for team in teams}
         self.chunk_size = rec.tasks_per_chunk(value_kb)
         self.max_value_bytes = int(value_kb * 1024)
-        #: Machines without a record, known because they have reported to their owner. A reset keeps them.
+        #: Machines without a record, known because they have reported to their owner. They are kept by ``reset``.
         self.reported_machines: dict[str, rec.MachineRecord] = {}
-        #: Called for each update of a policy record (subject, name, value), and before a new listing.
+        #: Called for each update of a policy record (subject, name, value), and before all records are read again.
         self.on_policy_change: Callable[[str, str, bytes | None], None] | None = None
         self.on_policy_reset: Callable[[], None] | None = None
+        #: Team name by record key.
         self._team_names = {rec.team_key(team.name): team.name for team in teams}
         self.reset_count = 0
         self.reset()
 
     def reset(self) -> None:
-        """Discard everything but the reported machines, before a new listing."""
+        """Discard everything but the reported machines, before all records are read again."""
         if self.on_policy_reset is not None:
             self.on_policy_reset()
         self.revision = 0
@@ -61,47 +62,47 @@
         self.final_records: OrderedDict[str, rec.FinalRecord] = OrderedDict()
         self.team_records: dict[str, rec.TeamRecord] = {}
         self.machines: dict[str, rec.MachineRecord] = dict(self.reported_machines)
-        #: Messages of controllers for others that they can't reach, by sender.
+        #: By sender: messages for controllers that the sender can't reach.
         self.outboxes: dict[str, rec.OutboxRecord] = {}
         #: The leader's decision on admission in an overload.
         self.admission: rec.AdmissionRecord | None = None
-        #: Machines whose use is not UP.
-        self.restricted_machines: dict[str, rec.MachineUse] = {}
-        #: Machines whose tasks are to be stopped or moved; few, and evaluated in every round.
-        self.evacuating_machines: dict[str, rec.MachineUse] = {}
-        #: Tasks that the records place on each machine.
+        #: Machines whose lifecycle state is not UP.
+        self.restricted_machines: dict[str, rec.MachineLifecycle] = {}
+        #: Machines whose tasks are to be stopped or moved; they are few and evaluated in every scheduling round.
+        self.evacuating_machines: dict[str, rec.MachineLifecycle] = {}
+        #: By machine: the tasks that are placed on it according to the records.
         self.tasks_by_machine: dict[str, dict[TaskKey, rec.TaskRecord]] = {}
-        #: Machines whose tasks changed since the owner's last evaluation.
+        #: Machines whose record or tasks changed since this controller, as their owner, last evaluated them.
         self.dirty_for_owner: set[str] = set()
-        #: Machines that changed since the scheduler's last evaluation.
+        #: Machines whose record, tasks or usage changed since the scheduler last evaluated them.
         self.dirty_for_placement: set[str] = set()
         #: Number of updates applied.
         self.change_count = 0
-        #: Indexes that save scanning all jobs: those with queued tasks, finished ones, gangs.
+        #: Indexes, to avoid scanning all jobs: jobs with queued tasks, finished jobs, gangs.
         self.queued_jobs: dict[str, Job] = {}
         self.finished_jobs: dict[str, Job] = {}
         self.gang_jobs: dict[str, Job] = {}
         #: Number of unfinished gangs of each team.
         self.gang_count_by_team: dict[str, int] = {}
-        self._guarantees = Guarantees(self.limits)
+        self._guarantees = Guarantees(self.team_settings)
         #: Totals over the unfinished jobs.
         self.workload = Workload()
-        #: Jobs that changed since they were last sorted into the queue.
+        #: Ids of the jobs that changed since they were last sorted into the pending queue.
         self.dirty_jobs: set[str] = set()
         #: Chunks (job id, index) that changed since the unrecorded exits were last checked; for a removed job, index 0.
         self.changed_chunks: set[tuple[str, int]] = set()
         self.reset_count += 1
-        #: Attempts that have ended although the records still place them. Their resources count as free.
+        #: Attempts that have ended but are still placed according to the records. Their resources count as free.
         self.unrecorded_exits: dict[TaskKey, int] = {}
-        #: Machines that have lost their tasks and have not been confirmed since by a record or their owner: the time of
-        #: the monotonic clock until which nothing is placed on them.
+        #: Machines whose tasks were lost and that no record or owner has confirmed since, with the monotonic time until
+        #: which nothing is placed on them.
         self.placement_suspended: dict[str, timedelta] = {}
         self._used_by_machine: dict[str, tuple[float, float, float]] = {}
-        #: The rank of the highest priority on each machine in ``_used_by_machine``.
-        self._top_rank: dict[str, int] = {}
+        #: By machine in ``_used_by_machine``: the rank of the highest priority among its tasks.
+        self._top_rank_by_machine: dict[str, int] = {}
         self._team_usage = TeamUsage()
         self._versions = KeyVersions()
-        #: Chunks whose job is not known: not yet, or not any more.
+        #: By job id and chunk index: chunks (tasks, version) whose job record has not arrived yet or has been deleted.
         self._orphans: dict[str, dict[int, tuple[list[rec.TaskRecord], int]]] = {}
 
     def version(self, key: str) -> int:
@@ -109,7 +110,7 @@
         return self._versions.get(key)
 
     def apply(self, key: str, value: bytes | msgspec.Raw | None, version: int) -> bool:
-        """Apply one update; False if it was not newer than what is known."""
+        """Apply one update; False if it is not newer than the known version of its key."""
         if not self._versions.advance(key, version, value is not None):
             return False
         self.change_count += 1
@@ -122,16 +123,16 @@
     def _apply_record(self, key: str, value: bytes | None, version: int) -> None:
         kind, name = key[:4], key[4:]
         if kind == rec.CHUNKS:
-            job, _, index = name.rpartition("/")
+            job_id, _, index = name.rpartition("/")
             chunk = None if value is None else decode(rec.ChunkRecord, value).tasks
-            self._apply_chunk(job, int(index), chunk, version)
+            self._apply_chunk(job_id, int(index), chunk, version)
         elif kind == rec.JOBS:
             self._apply_job(name, None if value is None else decode(rec.JobRecord, value), version)
         elif kind == rec.FINALS:
             if value is not None:
                 self._remove_job(name)
                 self.add_final(name, decode(rec.FinalRecord, value))
-            self._versions.discard(key)  # final records never change, so the version is not needed
+            self._versions.forget(key)  # final records never change
         elif kind == rec.TEAMS:
             team = self._team_names.get(key)
             if team is not None:
@@ -145,10 +146,10 @@
                 self.machines.pop(name, None)
             else:
                 machine = self.machines[name] = decode(rec.MachineRecord, value)
-                if machine.use is not rec.MachineUse.UP:
-                    self.restricted_machines[name] = machine.use
-                if machine.use in rec.EVACUATED_USES:
-                    self.evacuating_machines[name] = machine.use
+                if machine.lifecycle is not rec.MachineLifecycle.UP:
+                    self.restricted_machines[name] = machine.lifecycle
+                if machine.lifecycle in rec.EVACUATED_LIFECYCLES:
+                    self.evacuating_machines[name] = machine.lifecycle
             self.dirty_for_owner.add(name)
             self.dirty_for_placement.add(name)
         elif kind == rec.OUTBOXES:
@@ -171,16 +172,16 @@
             self.epoch = None if value is None else decode(rec.EpochRecord, value)
             self.epoch_version = version
 
-    def suspend_placement(self, names: Iterable[str], until: timedelta) -> None:
+    def suspend_placement(self, machine_ids: Iterable[str], until: timedelta) -> None:
         """Suspend placement on machines until the given time, or until a record or their owner confirms them.
 
-        The time limit is needed: the owner's message about a machine that is back may arrive before the message about
-        its lost tasks, and is not repeated. Without the limit, placement there was suspended for good, and a service
-        that needed the machine stayed queued as long.
+        The time limit is needed because the owner's announcement that a machine is back is not repeated, and may arrive
+        before the message about its lost tasks. Without the limit, placement on such a machine stayed suspended, and a
+        service that could only run there stayed queued.
         """
-        for name in names:
-            self.placement_suspended[name] = until
-            self.dirty_for_placement.add(name)
+        for machine_id in machine_ids:
+            self.placement_suspended[machine_id] = until
+            self.dirty_for_placement.add(machine_id)
 
     def expire_suspensions(self, now: timedelta) -> None:
         """Resume placement on machines whose suspension has expired."""
@@ -188,51 +189,54 @@
             del self.placement_suspended[name]
             self.dirty_for_placement.add(name)
 
-    def add_reported_machine(self, name: str, record: rec.MachineRecord) -> None:
-        """Add a machine that has reported to some controller.
+    def add_reported_machine(self, machine_id: str, record: rec.MachineRecord) -> None:
+        """Add a machine that is known from its reports to some controller, and resume placement on it.
 
-        A machine that is up needs no record, since its owner announces it to the other controllers. A record is
-        written when there is more to say, and takes precedence over reports.
+        A machine that is up needs no record, since its owner announces it to the other controllers. Records take
+        precedence over reports. A machine that already has a record, or was returned to the cloud, is not added.
         """
-        if self.placement_suspended.pop(name, None) is not None:
-            self.dirty_for_placement.add(name)
-        if name not in self.machines and not self.was_returned(name):
-            self.reported_machines[name] = self.machines[name] = record
-            self.dirty_for_owner.add(name)
-            self.dirty_for_placement.add(name)
+        if self.placement_suspended.pop(machine_id, None) is not None:
+            self.dirty_for_placement.add(machine_id)
+        if machine_id not in self.machines and not self.was_returned(machine_id):
+            self.reported_machines[machine_id] = self.machines[machine_id] = record
+            self.dirty_for_owner.add(machine_id)
+            self.dirty_for_placement.add(machine_id)
+
+    def remove_machine(self, machine_id: str) -> None:
+        """Remove a machine that was returned to the cloud.
 
-    def remove_machine(self, name: str) -> None:
-        """Remove a returned machine. If it has no record, a tombstone makes late reports of it ineffective."""
-        if self.reported_machines.pop(name, None) is not None:
-            self.machines.pop(name, None)
-            self._versions.add_tombstone(rec.machine_key(name), self.revision)
-        self.placement_suspended.pop(name, None)
-        self.dirty_for_owner.add(name)
-        self.dirty_for_placement.add(name)
-
-    def was_returned(self, machine: str) -> bool:
-        """Whether the machine was returned, as far as the tombstones reach back."""
-        return self._versions.has_tombstone(rec.machine_key(machine))
-
-    def add_final(self, job: str, final: rec.FinalRecord) -> None:
-        """Cache a final record; the oldest one is dropped when there are too many."""
-        self.final_records[job] = final
-        self.final_records.move_to_end(job)
+        If it has no record, a tombstone keeps delayed reports from adding it again.
+        """
+        if self.reported_machines.pop(machine_id, None) is not None:
+            self.machines.pop(machine_id, None)
+            self._versions.add_tombstone(rec.machine_key(machine_id), self.revision)
+        self.placement_suspended.pop(machine_id, None)
+        self.dirty_for_owner.add(machine_id)
+        self.dirty_for_placement.add(machine_id)
+
+    def was_returned(self, machine_id: str) -> bool:
+        """Whether the machine was returned to the cloud; limited to the newest ``MAX_TOMBSTONES`` deleted keys."""
+        return self._versions.has_tombstone(rec.machine_key(machine_id))
+
+    def add_final(self, job_id: str, final: rec.FinalRecord) -> None:
+        """Cache a final record; the one added first is dropped when there are too many."""
+        self.final_records[job_id] = final
+        self.final_records.move_to_end(job_id)
         if len(self.final_records) > MAX_CACHED_FINALS:
             self.final_records.popitem(last=False)
 
-    def _apply_job(self, name: str, record: rec.JobRecord | None, version: int) -> None:
+    def _apply_job(self, job_id: str, record: rec.JobRecord | None, version: int) -> None:
         if record is None:
-            self._remove_job(name)
+            self._remove_job(job_id)
             return
-        job = self.jobs.get(name)
+        job = self.jobs.get(job_id)
         if job is None:
-            job = self.jobs[name] = Job(record, version, self.chunk_size)
+            job = self.jobs[job_id] = Job(record, version, self.chunk_size)
             if job.spec.kind is JobKind.GANG:
-                self.gang_jobs[name] = job
+                self.gang_jobs[job_id] = job
                 self.gang_count_by_team[job.spec.team] = self.gang_count_by_team.get(job.spec.team, 0) + 1
-            for index, (chunk, chunk_version) in self._orphans.pop(name, {}).items():
-                self._apply_chunk(name, index, chunk, chunk_version)
+            for index, (chunk, chunk_version) in self._orphans.pop(job_id, {}).items():
+                self._apply_chunk(job_id, index, chunk, chunk_version)
         else:
             was_cancelled = job.cancelled
             job.record, job.version = record, version
@@ -256,39 +260,39 @@
         else:
             self.finished_jobs.pop(job.id, None)
 
-    def _remove_job(self, name: str) -> None:
-        job = self.jobs.pop(name, None)
+    def _remove_job(self, job_id: str) -> None:
+        job = self.jobs.pop(job_id, None)
         if job is None:
             return
-        self.dirty_jobs.add(name)
-        self.changed_chunks.add((name, 0))
+        self.dirty_jobs.add(job_id)
+        self.changed_chunks.add((job_id, 0))
         self.workload.remove(job)
         self._guarantees.remove(job)
-        if name in self.gang_jobs:
+        if job_id in self.gang_jobs:
             self.gang_count_by_team[job.spec.team] -= 1
         for jobs in (self.queued_jobs, self.finished_jobs, self.gang_jobs):
-            jobs.pop(name, None)
+            jobs.pop(job_id, None)
         self._team_usage.add(job.spec, -job.placed_count)
         for number, task in job.placed_tasks():
-            self._remove_placement(name, number, task.machine)
+            self._remove_placement(job_id, number, task.machine)
         if job.chunks:
-            # The chunks are deleted in the same transaction or, if there are too many, in later ones.
-            self._orphans[name] = {index: (chunk, job.versions[index]) for index, chunk in job.chunks.items()}
+            # The chunks are deleted in the same transaction as the job or, if there are too many, in later ones.
+            self._orphans[job_id] = {index: (chunk, job.chunk_versions[index]) for index, chunk in job.chunks.items()}
 
-    def _apply_chunk(self, name: str, index: int, chunk: list[rec.TaskRecord] | None, version: int) -> None:
-        job = self.jobs.get(name)
+    def _apply_chunk(self, job_id: str, index: int, chunk: list[rec.TaskRecord] | None, version: int) -> None:
+        job = self.jobs.get(job_id)
         if job is None:
             if chunk is not None:
-                self._orphans.setdefault(name, {})[index] = (chunk, version)
+                self._orphans.setdefault(job_id, {})[index] = (chunk, version)
             else:
-                chunks = self._orphans.get(name, {})
+                chunks = self._orphans.get(job_id, {})
                 chunks.pop(index, None)
                 if not chunks:
-                    self._orphans.pop(name, None)
+                    self._orphans.pop(job_id, None)
             return
         if chunk is not None and len(chunk) != job.chunk_length(index):
             raise ValueError("the number of tasks in the chunk does not match the job")
-        self.changed_chunks.add((name, index))
+        self.changed_chunks.add((job_id, index))
         base = index * self.chunk_size
         old = job.chunks.get(index)
         placed_count = job.placed_count
@@ -302,37 +306,37 @@
             job.counts[after.state] += 1
             job.ever_placed_count += bool(after.attempt) - bool(before.attempt)
             if before.machine:
-                self._remove_placement(name, base + offset, before.machine)
+                self._remove_placement(job_id, base + offset, before.machine)
             if after.machine:
-                self.tasks_by_machine.setdefault(after.machine, {})[(name, base + offset)] = after
+                self.tasks_by_machine.setdefault(after.machine, {})[(job_id, base + offset)] = after
                 self.dirty_for_owner.add(after.machine)
                 self.dirty_for_placement.add(after.machine)
                 self._used_by_machine.pop(after.machine, None)
         if chunk is None:
             job.chunks.pop(index, None)
-            job.versions.pop(index, None)
+            job.chunk_versions.pop(index, None)
         else:
             job.chunks[index] = chunk
-            job.versions[index] = version
+            job.chunk_versions[index] = version
         if job.placed_count != placed_count:
             self._team_usage.add(job.spec, job.placed_count - placed_count)
         self._update_job_indexes(job)
 
-    def _remove_placement(self, name: str, number: int, machine: str) -> None:
-        tasks = self.tasks_by_machine.get(machine)
+    def _remove_placement(self, job_id: str, task_number: int, machine_id: str) -> None:
+        tasks = self.tasks_by_machine.get(machine_id)
         if tasks is not None:
-            tasks.pop((name, number), None)
+            tasks.pop((job_id, task_number), None)
             if not tasks:
-                del self.tasks_by_machine[machine]
-        self.dirty_for_owner.add(machine)
-        self.dirty_for_placement.add(machine)
-        self._used_by_machine.pop(machine, None)
+                del self.tasks_by_machine[machine_id]
+        self.dirty_for_owner.add(machine_id)
+        self.dirty_for_placement.add(machine_id)
+        self._used_by_machine.pop(machine_id, None)
 
     def orphaned_chunks(self) -> Iterator[tuple[str, int]]:
-        """Keys and versions of the chunks whose job is not known."""
-        for name, chunks in self._orphans.items():
+        """Keys and versions of the chunks without a job record."""
+        for job_id, chunks in self._orphans.items():
             for index, (_, version) in chunks.items():
-                yield rec.chunk_key(name, index), version
+                yield rec.chunk_key(job_id, index), version
 
     # Queries -------------------------------------------------------------------------------------------------
 
@@ -341,68 +345,68 @@
         return self._team_usage.used(team)
 
     def set_unrecorded_exit(self, key: TaskKey, attempt: int | None) -> None:
-        """Record the exit of an attempt ahead of the records in the state service.
+        """Note that an attempt has ended, before its exit is recorded in the state service.
 
-        None removes the entry: the records have caught up, or the attempt has not ended after all.
+        None removes the entry: the exit is now recorded, or the attempt has not ended after all.
         """
         if attempt is None:
             self.unrecorded_exits.pop(key, None)
         else:
             self.unrecorded_exits[key] = attempt
         job = self.jobs.get(key[0])
-        machine = "" if job is None else job.task(key[1]).machine
-        if machine:
-            self.dirty_for_placement.add(machine)
-            self._used_by_machine.pop(machine, None)
-
-    def tasks_on(self, machine: str) -> list[tuple[TaskKey, rec.TaskRecord]]:
-        """The tasks that the records place on a machine, without those known to have ended."""
-        tasks = self.tasks_by_machine.get(machine)
+        machine_id = "" if job is None else job.task(key[1]).machine
+        if machine_id:
+            self.dirty_for_placement.add(machine_id)
+            self._used_by_machine.pop(machine_id, None)
+
+    def tasks_on(self, machine_id: str) -> list[tuple[TaskKey, rec.TaskRecord]]:
+        """The tasks placed on a machine according to the records, without those known to have ended."""
+        tasks = self.tasks_by_machine.get(machine_id)
         if not tasks:
             return []
         return [(key, task) for key, task in tasks.items() if self.unrecorded_exits.get(key) != task.attempt]
 
-    def used_on(self, machine: str) -> tuple[float, float, float]:
+    def used_on(self, machine_id: str) -> tuple[float, float, float]:
         """Cores, GPUs and GB of memory in use on a machine."""
-        used = self._used_by_machine.get(machine)
+        used = self._used_by_machine.get(machine_id)
         if used is None:
             cpus = gpus = memory = 0.0
             top = NO_RANK
-            for (job_id, _), _ in self.tasks_on(machine):
+            for (job_id, _), _ in self.tasks_on(machine_id):
                 job = self.jobs[job_id]
                 cpus += job.spec.cpus
                 gpus += job.spec.gpus
                 memory += job.spec.memory_gb
                 top = min(top, job.priority_rank)
-            used = self._used_by_machine[machine] = cpus, gpus, memory
-            self._top_rank[machine] = top
+            used = self._used_by_machine[machine_id] = cpus, gpus, memory
+            self._top_rank_by_machine[machine_id] = top
         return used
 
-    def top_rank_on(self, machine: str) -> int:
+    def top_rank_on(self, machine_id: str) -> int:
         """The rank of the highest priority on a machine; ``NO_RANK`` if it has no task.
 
-        Cached along with the usage, since every round needs it for every machine.
+        Cached along with the usage, since every scheduling round needs it for every machine.
         """
-        self.used_on(machine)
-        return self._top_rank[machine]
+        self.used_on(machine_id)
+        return self._top_rank_by_machine[machine_id]
 
     def infeasible_reason(self, spec: JobSpec) -> str | None:
         """Why the job can never run within the limit of its team, or None."""
-        return infeasible_reason(self.limits, spec)
+        return infeasible_reason(self.team_settings, spec)
 
-    def guaranteed_jobs(self) -> set[str]:
-        """Jobs that fit into the guarantee of their team together with the team's earlier unfinished jobs.
+    def guaranteed_job_ids(self) -> set[str]:
+        """Ids of the jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
 
         The set is not a copy: later updates change it.
         """
-        for name in self._guarantees.refresh(self.jobs):
-            self.dirty_jobs.add(name)
-            changed = self.jobs.get(name)
-            if changed is not None:
-                self.dirty_for_placement.update(task.machine for _, task in changed.placed_tasks())
-        return self._guarantees.jobs_within
+        for job_id in self._guarantees.refresh(self.jobs):
+            self.dirty_jobs.add(job_id)
+            job = self.jobs.get(job_id)
+            if job is not None:
+                self.dirty_for_placement.update(task.machine for _, task in job.placed_tasks())
+        return self._guarantees.guaranteed_job_ids
 
     @property
     def teams_over_guarantee(self) -> set[str]:
-        """Teams with more unfinished work than their guarantee, as of the last call of ``guaranteed_jobs``."""
+        """Teams whose unfinished jobs exceed their guarantee, as of the last call of ``guaranteed_job_ids``."""
         return self._guarantees.teams_over
--- a/src/gladecroft/bookkeeping/job.py
+++ b/src/gladecroft/bookkeeping/job.py
@@ -19,24 +19,25 @@
     """An accepted job that is not finished, with its tasks in chunks of ``chunk_size``."""
 
     __slots__ = (
-        "id", "spec", "record", "version", "chunks", "versions", "counts", "ever_placed_count", "priority_rank",
+        "id", "spec", "record", "version", "chunks", "chunk_versions", "counts", "ever_placed_count", "priority_rank",
         "chunk_size", "_queued_notes", "_failed_machines", "_chunks_without_queued",
     )  # fmt: skip
 
-    def __init__(self, record: rec.JobRecord, version: int, size: int) -> None:
+    def __init__(self, record: rec.JobRecord, version: int, chunk_size: int) -> None:
         self.id = record.spec.id
         self.spec: JobSpec = record.spec
         self.record = record
         self.version = version
-        self.chunk_size = size
+        self.chunk_size = chunk_size
         self.chunks: dict[int, list[rec.TaskRecord]] = {}
-        self.versions: dict[int, int] = {}
+        self.chunk_versions: dict[int, int] = {}
         #: Number of tasks in each ``TaskState``.
         self.counts = [record.spec.tasks, 0, 0, 0]
         #: Tasks that have been placed at least once.
         self.ever_placed_count = 0
         self.priority_rank = PRIORITY_RANK[record.spec.priority]
-        #: Chunks without queued tasks. ``queued_numbers`` skips them, to avoid scanning the finished part of an array.
+        #: Chunks without queued tasks. ``queued_task_numbers`` skips them, to avoid scanning the tasks of an array that
+        #: are done.
         self._chunks_without_queued: set[int] = set()
         self._queued_notes: list[str] | None = []
         self._failed_machines: frozenset[str] | None = frozenset()
@@ -69,9 +70,9 @@
     def chunk_length(self, index: int) -> int:
         return min(self.chunk_size, self.spec.tasks - index * self.chunk_size)
 
-    def task(self, number: int) -> rec.TaskRecord:
-        chunk = self.chunks.get(number // self.chunk_size)
-        return NEW_TASK if chunk is None else chunk[number % self.chunk_size]
+    def task(self, task_number: int) -> rec.TaskRecord:
+        chunk = self.chunks.get(task_number // self.chunk_size)
+        return NEW_TASK if chunk is None else chunk[task_number % self.chunk_size]
 
     def mark_chunk_changed(self, index: int, has_queued: bool) -> None:
         """Update derived data after a chunk changed; ``has_queued``: some of its tasks are queued."""
@@ -79,7 +80,7 @@
         self._queued_notes = self._failed_machines = None
 
     def queued_notes(self) -> list[str]:
-        """The three most frequent reasons why queued tasks last stopped, with counts.
+        """The three most frequent reasons why attempts of queued tasks stopped, with counts.
 
         Cached until a chunk changes, since users poll it.
         """
@@ -95,7 +96,7 @@
         return self._queued_notes
 
     def failed_machines(self) -> frozenset[str]:
-        """The machines on which queued tasks last failed. Cached until a chunk changes."""
+        """The machines on which the latest attempts of queued tasks failed. Cached until a chunk changes."""
         if self._failed_machines is None:
             self._failed_machines = frozenset(
                 task.note.removeprefix(rec.FAILED_NOTE_PREFIX)
@@ -105,7 +106,7 @@
             )
         return self._failed_machines
 
-    def queued_numbers(self) -> Iterator[int]:
+    def queued_task_numbers(self) -> Iterator[int]:
         """The numbers of the queued tasks, in order."""
         for index in range(self.chunk_count()):
             if index in self._chunks_without_queued:
@@ -120,7 +121,7 @@
                         yield base + offset
 
     def placed_tasks(self) -> Iterator[tuple[int, rec.TaskRecord]]:
-        """The tasks with an attempt on a machine: numbers and records."""
+        """The numbers and records of the tasks with an attempt on a machine."""
         for index, chunk in self.chunks.items():
             for offset, task in enumerate(chunk):
                 if task.state in (TaskState.ACTIVE, TaskState.STOPPING):
--- a/src/gladecroft/bookkeeping/records.py
+++ b/src/gladecroft/bookkeeping/records.py
@@ -1,15 +1,18 @@
 """Records in the state service and their keys.
 
+The home controller of a team is the only one that places the tasks of the team's jobs. The owner of a machine handles
+its reports and sends it commands; by default it is chosen by hash.
+
 g/epoch            the epoch: members, leader, machines moved away from their default owner
 g/n/<controller>   member key, attached to a lease of the state service
 g/j/<job>          an accepted job until it is finished
 g/p/<job>/<chunk>  a chunk of the job's tasks
-g/f/<job>          final record of a finished job; kept for ever
-g/t/<team>         the only controller that places the team's tasks
-g/m/<machine>      a machine, once there is more to record than that it has reported
+g/f/<job>          final record of a finished job; kept forever
+g/t/<team>         claim of the team by its home controller; the team's name is in hex
+g/m/<machine>      a machine; one that is up and has been announced to all controllers needs no record
 g/x/<controller>   outbox: the controller's messages for others that it can't reach
 g/q/<subject>/<n>  data of a policy (sorts after g/f/, so that the listing at startup includes it)
-g/s/admission      admission in an overload: shares of the groups and which submissions are accepted
+g/s/admission      admission in an overload: shares of the groups, and which submissions are accepted
 """
 
 from __future__ import annotations
@@ -35,21 +38,21 @@
 ADMISSION = "g/s/admission"
 
 #: Names of the record kinds in log messages, by prefix.
-RECORD_NAMES = {JOBS: "job", CHUNKS: "tasks", FINALS: "final state", TEAMS: "claim", MACHINES: "machine",
-                OUTBOXES: "mail", POLICIES: "policy", ADMISSION_PREFIX: "admission"}  # fmt: skip
+RECORD_NAMES = {JOBS: "job", CHUNKS: "tasks", FINALS: "final record", TEAMS: "claim", MACHINES: "machine",
+                OUTBOXES: "outbox", POLICIES: "policy", ADMISSION_PREFIX: "admission"}  # fmt: skip
 
-#: Bytes per task by which the length of a chunk is chosen. A task with a note may take more; the notes are dropped if
-#: the value gets too large.
+#: Bytes per task that the number of tasks in a chunk is based on. Tasks with notes may take more; the notes are dropped
+#: if the value gets too large.
 ESTIMATED_TASK_BYTES = 44
-#: Upper bound for the bytes of a task's record without its note and machine name.
+#: Upper bound on the encoded size of a task's record without its note and machine.
 MAX_BARE_TASK_BYTES = 34
 
-#: Prefix of the note of a failed task; the machine's name follows.
+#: Prefix of the note of a failed task; the machine's id follows.
 FAILED_NOTE_PREFIX = "error "
 
 
 class TaskState(IntEnum):
-    """Where a task stands; ACTIVE and STOPPING tasks have an attempt on a machine."""
+    """The state of a task; ACTIVE and STOPPING tasks have an attempt on a machine."""
 
     QUEUED = 0
     ACTIVE = 1
@@ -58,7 +61,10 @@
 
 
 class EpochRecord(msgspec.Struct, frozen=True):
-    """An epoch: its number, leader and members, and the machines moved away from their default owner."""
+    """An epoch: its number, leader and members, and the machines moved away from their default owner.
+
+    ``members`` maps each member to its incarnation, ``moved`` each moved machine to its owner.
+    """
 
     number: int
     leader: str
@@ -67,7 +73,7 @@
 
 
 class MemberRecord(msgspec.Struct, frozen=True):
-    """A running controller."""
+    """Member key of a running controller."""
 
     incarnation: int
 
@@ -89,7 +95,7 @@
 
 
 class TaskRecord(msgspec.Struct, gc=False, frozen=True, array_like=True, omit_defaults=True):
-    """A task and its latest attempt. ``note``: why it last stopped."""
+    """A task and its latest attempt. ``note``: why the attempt stopped or is to be stopped."""
 
     state: TaskState = TaskState.QUEUED
     attempt: int = 0
@@ -106,47 +112,47 @@
 
 
 class TeamRecord(msgspec.Struct, gc=False, frozen=True):
-    """The only controller that places the team's tasks, and its incarnation. Every placement is conditional on it."""
+    """Claim of a team by its home controller. Every placement of the team's tasks is conditional on it."""
 
     home: str = ""
     incarnation: int = 0
 
 
-class MachineUse(IntEnum):
-    """What a machine may be used for. Tasks are placed only on machines that are UP."""
+class MachineLifecycle(IntEnum):
+    """The lifecycle state of a machine. Tasks are placed only on machines that are UP."""
 
     UP = 0
     #: No report for some time.
     SILENT = 1
-    #: Being reclaimed: the cloud has announced that it takes the machine away. Its tasks are stopped.
+    #: The cloud has announced that it will reclaim the machine. Its tasks are stopped.
     RECLAIMING = 2
-    #: It fails the tasks that it starts. Its tasks are stopped.
+    #: Found to be the cause of task failures. Its tasks are stopped.
     FAULTY = 3
     #: Idle, and about to be returned to the cloud.
     RETURNING = 4
     #: Little used: its services are moved to other machines, its array tasks run to completion.
     DRAINING = 5
-    #: Returned to the cloud. The record stays for some time, so that a delayed report does not add the machine again.
+    #: Returned to the cloud. The record is kept for some time, so that a delayed report does not add the machine again.
     RETURNED = 6
 
 
-#: Uses in which the tasks on a machine are to be stopped or moved.
-EVACUATED_USES = (MachineUse.RECLAIMING, MachineUse.FAULTY, MachineUse.DRAINING)
+#: Lifecycle states in which the tasks on a machine are to be stopped or moved.
+EVACUATED_LIFECYCLES = (MachineLifecycle.RECLAIMING, MachineLifecycle.FAULTY, MachineLifecycle.DRAINING)
 
 
 #: Machine type, zone, and whether it is spot capacity.
 CapacityPool = tuple[str, str, bool]
 
 
-class MachineRecord(msgspec.Struct, gc=False, frozen=True):
-    """A machine and its use."""
+class MachineRecord(msgspec.Struct, gc=False, frozen=True, rename={"lifecycle": "use"}):
+    """A machine and its lifecycle state."""
 
     type: str
     zone: str
     spot: bool
     addr: str
-    use: MachineUse = MachineUse.UP
-    #: Unix time at which the cloud reclaims the machine, if it has announced it; else 0.
+    lifecycle: MachineLifecycle = MachineLifecycle.UP
+    #: Unix time at which the cloud will reclaim the machine; 0 if it has not announced that.
     until_s: int = 0
 
     @property
@@ -154,16 +160,19 @@
         return self.type, self.zone, self.spot
 
 
-class OutboxRecord(msgspec.Struct, gc=False, frozen=True):
-    """Attempts confirmed ended under this epoch, and machines that have reported."""
+class OutboxRecord(msgspec.Struct, gc=False, frozen=True, rename={"reported_machines": "heard"}):
+    """Attempts confirmed ended under this epoch, and machines that have reported and have no record yet."""
 
     epoch: int
     ended: list[EndedAttempt] = []
-    heard: list[ReportedMachine] = []
+    reported_machines: list[ReportedMachine] = []
 
 
 class GroupShare(msgspec.Struct, gc=False, frozen=True, array_like=True, omit_defaults=True):
-    """Cores for a team's jobs of one class: below ``floor`` they precede all other jobs, above ``share`` they follow.
+    """The admission decision for a group, that is, a team's jobs of one class.
+
+    While the group uses fewer cores than ``floor_cpus``, its jobs precede those of other groups. Once it uses
+    ``share_cpus``, they follow, unless the team's guarantee applies to the group.
 
     Job ids are mapped to a ring of length 1. A submission is accepted if its id lies in the arc of length ``width``
     from ``begin`` on; a width of 1 or more accepts all. ``begin`` advances by ``sweep`` per second.
@@ -171,18 +180,25 @@
 
     team: str
     job_class: str
-    floor: float
-    share: float
+    floor_cpus: float
+    share_cpus: float
     begin: float = 0.0
     width: float = 1.0
     sweep: float = 0.0
 
 
-class AdmissionRecord(msgspec.Struct, gc=False, frozen=True, omit_defaults=True):
+class AdmissionRecord(
+    msgspec.Struct,
+    gc=False,
+    frozen=True,
+    omit_defaults=True,
+    rename={"guaranteed_demand_exceeds_capacity": "scarce"},
+):
     """The leader's decision on admission in an overload, for all controllers.
 
-    It expires at the Unix time ``until_s`` unless renewed. ``salt`` keys the mapping of job ids to the ring, since
-    users choose the ids. ``scarce``: the guarantees of the teams alone exceed the capacity.
+    It expires at the Unix time ``until_s`` unless renewed. ``salt`` keys the mapping of job ids to the ring, so that
+    users, who choose the ids, can't choose the position. ``guaranteed_demand_exceeds_capacity``: the demand of
+    the teams within their guarantees exceeds the capacity by itself.
     """
 
     generation: int
@@ -191,28 +207,28 @@
     until_s: int
     groups: list[GroupShare] = []
     salt: str = ""
-    scarce: bool = False
+    guaranteed_demand_exceeds_capacity: bool = False
 
 
 def tasks_per_chunk(value_kb: float) -> int:
-    """How many tasks go into a chunk, given the limit on the size of a value."""
+    """Number of tasks in a chunk, given the limit on the size of a value in KiB."""
     return max(1, int(value_kb * 1024 * 0.95) // ESTIMATED_TASK_BYTES)
 
 
-def job_key(job: str) -> str:
-    return JOBS + job
+def job_key(job_id: str) -> str:
+    return JOBS + job_id
 
 
-def final_key(job: str) -> str:
-    return FINALS + job
+def final_key(job_id: str) -> str:
+    return FINALS + job_id
 
 
-def chunk_key(job: str, index: int) -> str:
-    return f"{CHUNKS}{job}/{index}"
+def chunk_key(job_id: str, index: int) -> str:
+    return f"{CHUNKS}{job_id}/{index}"
 
 
 def team_key(team: str) -> str:
-    # A team's name may contain spaces, a key may not.
+    # Hex, since a team's name may contain spaces and a key may not.
     return TEAMS + team.encode().hex()
 
 
@@ -224,5 +240,5 @@
     return f"{POLICIES}{subject}/{name}"
 
 
-def machine_key(machine: str) -> str:
-    return MACHINES + machine
+def machine_key(machine_id: str) -> str:
+    return MACHINES + machine_id
--- a/src/gladecroft/bookkeeping/teams.py
+++ b/src/gladecroft/bookkeeping/teams.py
@@ -15,7 +15,8 @@
 class TeamUsage:
     """The number of attempts of each team by size (cores, GPUs).
 
-    Updated as attempts come and go: scanning all jobs after each change took time that grew with the fleet.
+    Updated with each placement and exit. Scanning all jobs after each change took time that grew with the number of
+    machines.
     """
 
     def __init__(self) -> None:
@@ -41,20 +42,20 @@
 class Guarantees:
     """Tracks which jobs fit into the guarantee of their team together with the team's earlier unfinished jobs.
 
-    Only teams whose jobs have changed are evaluated again, and only up to their first job that does not fit, so later
-    jobs cost nothing.
+    Only teams whose jobs have changed are evaluated again, and only up to the first job that does not fit, so the cost
+    does not depend on the number of later jobs.
     """
 
-    def __init__(self, limits: Mapping[str, Team]) -> None:
-        self._limits = limits
-        #: Jobs within the guarantee of their team.
-        self.jobs_within: set[str] = set()
-        #: Teams with more unfinished work than their guarantee.
+    def __init__(self, team_settings: Mapping[str, Team]) -> None:
+        self._team_settings = team_settings
+        #: Ids of the jobs that fit into the guarantee of their team.
+        self.guaranteed_job_ids: set[str] = set()
+        #: Teams whose unfinished jobs exceed their guarantee.
         self.teams_over: set[str] = set()
         self._jobs_by_acceptance: dict[str, SortedList[tuple[int, str]]] = {}
-        #: The entry of each job in ``_jobs_by_acceptance``: time of acceptance and id.
+        #: By job id: its entry in ``_jobs_by_acceptance``, the time of acceptance in Unix milliseconds and the job id.
         self._sort_keys: dict[str, tuple[int, str]] = {}
-        self._jobs_within_by_team: dict[str, set[str]] = {}
+        self._guaranteed_job_ids_by_team: dict[str, set[str]] = {}
         self._dirty_teams: set[str] = set()
 
     def update(self, job: Job) -> None:
@@ -63,7 +64,7 @@
             return
         if job.cancelled:
             self.remove(job)
-        elif job.spec.team in self._limits:
+        elif job.spec.team in self._team_settings:
             sort_key = self._sort_keys[job.id] = (job.record.accepted_ms, job.id)
             self._jobs_by_acceptance.setdefault(job.spec.team, SortedList()).add(sort_key)
             self._dirty_teams.add(job.spec.team)
@@ -76,38 +77,38 @@
             self._dirty_teams.add(job.spec.team)
 
     def refresh(self, jobs: Mapping[str, Job]) -> set[str]:
-        """Update ``jobs_within`` and ``teams_over``; returns the jobs that are affected."""
+        """Update ``jobs_within`` and ``teams_over``; return the ids of the affected jobs."""
         changed: set[str] = set()
         for team in self._dirty_teams:
-            before = self._jobs_within_by_team.get(team, set())
+            before = self._guaranteed_job_ids_by_team.get(team, set())
             within, is_over = self._evaluate_team(team, jobs)
             if is_over is not (team in self.teams_over):
                 changed |= within
             (self.teams_over.add if is_over else self.teams_over.discard)(team)
             changed |= within ^ before
-            self._jobs_within_by_team[team] = within
-            self.jobs_within -= before
-            self.jobs_within |= within
+            self._guaranteed_job_ids_by_team[team] = within
+            self.guaranteed_job_ids -= before
+            self.guaranteed_job_ids |= within
         self._dirty_teams.clear()
         return changed
 
     def _evaluate_team(self, team: str, jobs: Mapping[str, Job]) -> tuple[set[str], bool]:
         within: set[str] = set()
-        limit = self._limits[team]
+        settings = self._team_settings[team]
         cpus = gpus = 0.0
         for _, job_id in self._jobs_by_acceptance[team]:
             spec = jobs[job_id].spec
             cpus += spec.cpus * spec.tasks
             gpus += spec.gpus * spec.tasks
-            if cpus > limit.cpus + 1e-9 or gpus > limit.gpus + 1e-9:
+            if cpus > settings.cpus + 1e-9 or gpus > settings.gpus + 1e-9:
                 return within, True  # no later job fits, since the sums only grow
             within.add(job_id)
         return within, False
 
 
-def infeasible_reason(limits: Mapping[str, Team], spec: JobSpec) -> str | None:
+def infeasible_reason(team_settings: Mapping[str, Team], spec: JobSpec) -> str | None:
     """Why the job can never run within the limit of its team, or None."""
-    team = limits.get(spec.team)
+    team = team_settings.get(spec.team)
     if team is None:
         return f"unknown team {spec.team}"
     concurrent_tasks = 1 if spec.kind is JobKind.ARRAY else spec.tasks
--- a/src/gladecroft/bookkeeping/transaction.py
+++ b/src/gladecroft/bookkeeping/transaction.py
@@ -1,4 +1,4 @@
-"""Builds a transaction of the state service from edits to tasks and other records."""
+"""Builds a transaction for the state service from edits to tasks and other records."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
         self._team_usage: dict[str, list[float]] = {}
         #: Teams for which this transaction places tasks.
         self.placed_teams: set[str] = set()
-        #: Jobs that end with this transaction: ``set_task`` ignores their tasks.
-        self.finished_jobs: set[str] = set()
+        #: Ids of the jobs that this transaction finishes; ``set_task`` ignores their tasks.
+        self.finished_job_ids: set[str] = set()
         #: Teams that this transaction claims.
         self.claimed_teams: set[str] = set()
-        #: Log messages for when the transaction is committed.
+        #: Messages to log once the transaction is committed.
         self.log_messages: list[str] = []
         #: Approximate size of the writes as JSON, updated with each edit so that ``has_room`` takes constant time.
         self._writes_bytes = 200
@@ -47,7 +47,7 @@
         self.conditions.setdefault(key, self.cluster_state.version(key) if version is None else version)
 
     def has_room(self, jobs: int = 1, teams: int = 1, machines: int = 0) -> bool:
-        """Whether this many more chunks and conditions on team and machine records are certain to fit."""
+        """Whether edits to this many more chunks and conditions on team and machine records are sure to fit."""
         ops = len(self.writes) + len(self._edited_chunks) + jobs
         conditions = len(self.conditions) + 2 * jobs + teams + machines
         return ops <= self.max_ops and conditions <= self.max_conditions and self._estimated_bytes() < self.max_bytes
@@ -55,12 +55,12 @@
     def _estimated_bytes(self) -> int:
         return self._writes_bytes + 160 * len(self.conditions)
 
-    def edits_chunk(self, job: Job, number: int) -> bool:
+    def edits_chunk(self, job: Job, task_number: int) -> bool:
         """Whether the chunk of the task is already being edited."""
-        return (job.id, number // job.chunk_size) in self._edited_chunks
+        return (job.id, task_number // job.chunk_size) in self._edited_chunks
 
     def put(self, key: str, value: Any) -> None:
-        """Write a record, on condition that its key has not changed."""
+        """Write a record, on the condition that its key has not changed."""
         self.require(key)
         self.writes[key] = msgspec.json.encode(value)
         self._writes_bytes += 100 + len(self.writes[key] or b"")
@@ -68,32 +68,32 @@
     def delete_chunk(self, job: Job, index: int) -> None:
         """Delete a chunk of a finished job and discard the edits to it."""
         self._edited_chunks.pop((job.id, index), None)
-        self.require(rec.chunk_key(job.id, index), job.versions[index])
+        self.require(rec.chunk_key(job.id, index), job.chunk_versions[index])
         self.writes[rec.chunk_key(job.id, index)] = None
 
     def delete(self, key: str) -> None:
-        """Delete a record, on condition that its key has not changed."""
+        """Delete a record, on the condition that its key has not changed."""
         self.require(key)
         self.writes[key] = None
 
-    def task(self, job: Job, number: int) -> rec.TaskRecord:
+    def task(self, job: Job, task_number: int) -> rec.TaskRecord:
         """The task's record with the edits of this transaction."""
-        chunk = self._edited_chunks.get((job.id, number // job.chunk_size))
-        return job.task(number) if chunk is None else chunk[number % job.chunk_size]
+        chunk = self._edited_chunks.get((job.id, task_number // job.chunk_size))
+        return job.task(task_number) if chunk is None else chunk[task_number % job.chunk_size]
 
-    def task_fits(self, job: Job, number: int, machine: str) -> bool:
-        """Whether the task's chunk, without notes, stays within the value size limit with the task on the machine."""
-        index, offset = divmod(number, job.chunk_size)
+    def task_fits(self, job: Job, task_number: int, machine_id: str) -> bool:
+        """Whether the task's chunk without notes stays within the value size limit with the task on the machine."""
+        index, offset = divmod(task_number, job.chunk_size)
         chunk = self._edited_chunks.get((job.id, index)) or job.chunks.get(index)
-        if chunk is None or len(chunk) * (rec.MAX_BARE_TASK_BYTES + len(machine)) <= self._max_value_bytes:
+        if chunk is None or len(chunk) * (rec.MAX_BARE_TASK_BYTES + len(machine_id)) <= self._max_value_bytes:
             return True
         others = sum(rec.MAX_BARE_TASK_BYTES + len(task.machine) for task in chunk if task.machine)
-        return others + rec.MAX_BARE_TASK_BYTES + len(machine) + 16 * len(chunk) <= self._max_value_bytes
+        return others + rec.MAX_BARE_TASK_BYTES + len(machine_id) + 16 * len(chunk) <= self._max_value_bytes
 
-    def set_task(self, job: Job, number: int, record: rec.TaskRecord) -> None:
+    def set_task(self, job: Job, task_number: int, record: rec.TaskRecord) -> None:
         """Replace a task's record and update the usage of its team."""
-        index, offset = divmod(number, job.chunk_size)
-        if job.id in self.finished_jobs:
+        index, offset = divmod(task_number, job.chunk_size)
+        if job.id in self.finished_job_ids:
             return
         chunk = self._edited_chunks.get((job.id, index))
         if chunk is None:
@@ -102,7 +102,7 @@
             self._edited_chunks[(job.id, index)] = chunk
             self._writes_bytes += 100 + sum(16 + len(task.machine) + len(task.note) for task in chunk)
             self.require(rec.job_key(job.id), job.version)
-            self.require(rec.chunk_key(job.id, index), job.versions.get(index, 0))
+            self.require(rec.chunk_key(job.id, index), job.chunk_versions.get(index, 0))
         before = chunk[offset]
         chunk[offset] = record
         self._writes_bytes += 16 + len(record.machine) + len(record.note)
@@ -122,26 +122,26 @@
         return used
 
     def remaining_team_tasks(self, job: Job) -> int:
-        """How many more tasks of the job the limit of its team allows."""
-        limit = self.cluster_state.limits[job.spec.team]
+        """How many more tasks of the job its team's limit allows."""
+        team = self.cluster_state.team_settings[job.spec.team]
         used = self._team_usage.get(job.spec.team) or self.cluster_state.used_by_team(job.spec.team)
         remaining = job.spec.tasks
-        for per_task, maximum, current in (
-            (job.spec.cpus, limit.cpu_limit, used[0]),
-            (job.spec.gpus, limit.gpu_limit, used[1]),
+        for per_task, limit, current in (
+            (job.spec.cpus, team.cpu_limit, used[0]),
+            (job.spec.gpus, team.gpu_limit, used[1]),
         ):
-            if per_task > 0 and maximum < math.inf:
-                remaining = min(remaining, int((maximum - current + 1e-6) / per_task))
+            if per_task > 0 and limit < math.inf:
+                remaining = min(remaining, int((limit - current + 1e-6) / per_task))
         return max(0, remaining)
 
     def finish(self) -> bool:
         """Add the edited chunks to the writes; False if there is nothing to write."""
-        for (job, index), chunk in self._edited_chunks.items():
+        for (job_id, index), chunk in self._edited_chunks.items():
             value = msgspec.json.encode(rec.ChunkRecord(chunk))
             if len(value) > self._max_value_bytes:
-                # Notes are informational; without them the value fits.
+                # Notes are only informational, and without them the value fits (see ``task_fits``).
                 value = msgspec.json.encode(rec.ChunkRecord([_without_note(task) for task in chunk]))
-            self.writes[rec.chunk_key(job, index)] = value
+            self.writes[rec.chunk_key(job_id, index)] = value
         self._edited_chunks.clear()
         self._team_usage.clear()
         return bool(self.writes)
--- a/src/gladecroft/bookkeeping/versions.py
+++ b/src/gladecroft/bookkeeping/versions.py
@@ -7,8 +7,8 @@
 
 from collections import OrderedDict
 
-#: Number of tombstones kept. A tombstone is the revision of a key's deletion; it keeps older updates from restoring
-#: the key.
+#: Number of tombstones kept. A tombstone is the revision of a key's deletion. It keeps older updates that arrive later
+#: from restoring the key.
 MAX_TOMBSTONES = 20_000
 
 
@@ -24,7 +24,7 @@
         return self._versions.get(key, 0)
 
     def advance(self, key: str, version: int, exists: bool) -> bool:
-        """Record an update; False if it is not newer than what is known of the key."""
+        """Record an update of a key, or its deletion; False if it is not newer than the known version or tombstone."""
         if version <= self._versions.get(key, 0) or version <= self._tombstones.get(key, 0):
             return False
         if exists:
@@ -34,16 +34,22 @@
             self.add_tombstone(key, version)
         return True
 
-    def discard(self, key: str) -> None:
-        """Discard the version of a key that never changes again."""
+    def forget(self, key: str) -> None:
+        """Forget a key that never changes again, to save memory.
+
+        No tombstone is added, so an update that arrives again is accepted again.
+        """
         self._versions.pop(key, None)
 
     def add_tombstone(self, key: str, version: int) -> None:
-        """Record a deletion, discarding the oldest tombstone if there are too many."""
+        """Add a tombstone without changing the key's version; called directly for keys that never had a record.
+
+        If there are too many, the one whose key was deleted first is dropped.
+        """
         self._tombstones[key] = version
         if len(self._tombstones) > MAX_TOMBSTONES:
             self._tombstones.popitem(last=False)
 
     def has_tombstone(self, key: str) -> bool:
-        """Whether the key was deleted, as far as the tombstones reach back."""
+        """Whether the key has a tombstone, even if it has been created again since. Only the newest ones are kept."""
         return key in self._tombstones
--- a/src/gladecroft/bookkeeping/workload.py
+++ b/src/gladecroft/bookkeeping/workload.py
@@ -1,4 +1,7 @@
-"""Totals over the unfinished jobs, updated incrementally: in an overload, scanning all queued jobs takes too long."""
+"""Totals over the unfinished jobs.
+
+They are updated incrementally, since scanning all queued jobs takes too long in an overload.
+"""
 
 from __future__ import annotations
 
@@ -16,18 +19,22 @@
 class TeamDemand:
     """The queued work of one team. ``task_cpus``: the cores per task of each job with queued tasks, sorted."""
 
-    __slots__ = ("queued_jobs", "queued_cpus", "task_cpus", "production_jobs", "service_jobs", "changing_jobs")
+    __slots__ = ("queued_jobs", "queued_cpus", "task_cpus", "queued_production_jobs", "service_jobs", "changing_jobs")
 
     def __init__(self) -> None:
-        self.queued_jobs = self.production_jobs = self.service_jobs = 0
+        self.queued_jobs = self.queued_production_jobs = self.service_jobs = 0
         self.queued_cpus = 0.0
         self.task_cpus: SortedList[float] = SortedList()
-        #: Jobs that cause transactions: those with queued tasks, and those that end by themselves.
+        #: Jobs that will cause further transactions: those with queued tasks, and those that finish by themselves, that
+        #: is, all but services.
         self.changing_jobs = 0
 
 
 class SpotWork:
-    """Work of a group's arrays that may run on spot machines, in core-seconds as estimated by the users."""
+    """Work of a group's arrays that may run on spot machines, in core-seconds by the users' estimates.
+
+    ``queued_cpus`` is the number of cores that the queued tasks request.
+    """
 
     __slots__ = ("queued_cpu_s", "running_cpu_s", "queued_cpus")
 
@@ -36,7 +43,10 @@
 
 
 class GroupUsage:
-    """Unfinished jobs of a group, and cores, GPUs and GB of memory that it uses and that its queued tasks request."""
+    """The number of unfinished jobs of a group, and its resources as a list of cores, GPUs and GB of memory.
+
+    ``used`` is what its placed tasks hold, ``queued`` what its queued tasks request.
+    """
 
     __slots__ = ("jobs", "used", "queued")
 
@@ -46,8 +56,8 @@
         self.queued = [0.0, 0.0, 0.0]
 
 
-class _Counted:
-    """What the totals include of one job."""
+class _CountedJob:
+    """What the totals include of one job: its numbers of queued and placed tasks, and whether it is changing."""
 
     __slots__ = ("queued", "placed", "changing")
 
@@ -65,10 +75,10 @@
         self.teams: dict[str, TeamDemand] = {}
         self.spot_work: dict[JobGroup, SpotWork] = {}
         self.groups: dict[JobGroup, GroupUsage] = {}
-        #: Jobs that were added and removed since the records were listed.
+        #: Numbers of jobs added and removed since the records were last read as a whole.
         self.arrivals: Counter[JobGroup] = Counter()
         self.departures: Counter[JobGroup] = Counter()
-        self._counted: dict[str, _Counted] = {}
+        self._counted: dict[str, _CountedJob] = {}
 
     @property
     def queued_cpus(self) -> float:
@@ -76,7 +86,7 @@
         return sum(team.queued_cpus for team in self.teams.values())
 
     def smallest_task_cpus(self) -> float:
-        """The cores of the smallest queued task; 0 if there is none."""
+        """The fewest cores that any queued task requests; 0 if there is none."""
         return min((team.task_cpus[0] for team in self.teams.values() if team.task_cpus), default=0.0)
 
     def update(self, job: Job) -> None:
@@ -102,7 +112,7 @@
         spec = job.spec
         counted = self._counted.get(job.id)
         if counted is None:
-            counted = self._counted[job.id] = _Counted()
+            counted = self._counted[job.id] = _CountedJob()
             self.groups.setdefault((spec.team, spec.job_class), GroupUsage()).jobs += 1
             self.arrivals[(spec.team, spec.job_class)] += 1
         if counted.queued == queued and counted.placed == placed and counted.changing == changing:
@@ -113,7 +123,7 @@
         delta = bool(queued) - bool(counted.queued)
         if delta:
             team.queued_jobs += delta
-            team.production_jobs += delta * (job.priority_rank == 0)
+            team.queued_production_jobs += delta * (job.priority_rank == 0)
             team.service_jobs += delta * (spec.kind is JobKind.SERVICE)
             if delta > 0:
                 team.task_cpus.add(spec.cpus)
--- a/src/gladecroft/cli.py
+++ b/src/gladecroft/cli.py
@@ -1,4 +1,4 @@
-"""Command line of the controller and of the operators' tools."""
+"""Command line of the controller and of the operator tools."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 EXIT_UNREACHABLE = 3
 
 
-def _load(config: str, properties: str | None) -> tuple[PlatformSettings, OperatorSettings]:
+def _load_settings(config: str, properties: str | None) -> tuple[PlatformSettings, OperatorSettings]:
     try:
         return load_platform(config), load_operator(properties)
     except SettingsError as error:
@@ -49,9 +49,9 @@
 
 
 class _LazyGroup(click.Group):
-    """A group that imports some commands only on use, since the controller needs none of them."""
+    """A group that imports some commands only when they are used, since the controller does not need them."""
 
-    #: Module and attribute of each command.
+    #: Module and attribute of each such command.
     lazy_commands = {
         "admission": ("gladecroft.toolbox.admission", "admission"),
         "cordon": ("gladecroft.toolbox.cordon", "cordon"),
@@ -89,16 +89,16 @@
 @_properties
 def serve(config: str, properties: str | None) -> None:
     """Run a controller until interrupted."""
-    platform, operator = _load(config, properties)
+    platform, operator = _load_settings(config, properties)
     _log_to_stderr()
-    from gladecroft.service import ControllerService  # the other commands need no sockets
+    from gladecroft.service import ControllerService  # imported here because the other commands need no sockets
 
-    # The many records contain no reference cycles, and scanning them often costs much processor time.
+    # The records contain no reference cycles, and frequent scans of so many objects take much processor time.
     gc.freeze()
     gc.set_threshold(20_000, 20, 20)
     try:
-        # asyncio's own event loop polls the kernel in every iteration and unregisters sockets between reads, which
-        # takes much of the processor time with many machines.
+        # The event loop of asyncio polls the kernel in every iteration and unregisters sockets between reads. With many
+        # machines this takes much of the processor time.
         anyio.run(ControllerService(platform, operator).run, backend_options={"use_uvloop": True})
     except KeyboardInterrupt:
         sys.exit(130)
@@ -112,7 +112,7 @@
 @_properties
 def check_config(config: str, properties: str | None) -> None:
     """Check the settings files and report errors."""
-    platform, _ = _load(config, properties)
+    platform, _ = _load_settings(config, properties)
     click.echo(f"{config}: valid: controller {platform.name} with {len(platform.peers)} peers")
 
 
@@ -121,7 +121,7 @@
 @click.option("--view", is_flag=True, help="Show the state of the controller instead of a job.")
 @click.argument("job", required=False)
 def status(node: str, view: bool, job: str | None) -> None:
-    """Show the state of a JOB and the reason why it is pending or stopped, or the state of a controller."""
+    """Show the state of a JOB and the reason why it is queued or stopped, or the state of a controller."""
     if view == (job is not None):
         raise click.UsageError("give either a JOB or --view")
     if job is not None and not wire.JOB_ID.match(job):
--- a/src/gladecroft/coordination/__init__.py
+++ b/src/gladecroft/coordination/__init__.py
@@ -1,4 +1,4 @@
 """Decision logic: membership, placement, machines and fleet size.
 
-This package does no I/O: it takes the time and events as input and returns effects for the caller to carry out.
+This package does no I/O: it takes clock readings and events as input and returns effects for the caller to carry out.
 """
--- a/src/gladecroft/coordination/admission/__init__.py
+++ b/src/gladecroft/coordination/admission/__init__.py
@@ -1,6 +1,6 @@
-"""Admission control under overload: fair shares and limits on new jobs, the same on all controllers."""
+"""Admission control under overload: fair shares and limits on new jobs, which all controllers apply alike."""
 
 from gladecroft.coordination.admission.control import AdmissionControl
-from gladecroft.coordination.admission.tiers import PriorityTiers
+from gladecroft.coordination.admission.tiers import AdmissionTiers
 
-__all__ = ["AdmissionControl", "PriorityTiers"]
+__all__ = ["AdmissionControl", "AdmissionTiers"]
--- a/src/gladecroft/coordination/admission/control.py
+++ b/src/gladecroft/coordination/admission/control.py
@@ -1,7 +1,8 @@
 """Admission control under overload.
 
-The leader watches for overload and publishes a record with each group's floor, fair share and admission window. All
-controllers apply the record in force, so that they order queued work and refuse submissions alike.
+The leader detects overload and publishes an admission record with the floor, the fair share and the admission window of
+each group (team and job class). All controllers apply the record in force, so they order queued jobs and reject
+submissions alike. Each publication is a new *generation* of the record.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
     FairShare,
     GroupDemand,
     fair_shares,
-    guarantees_exceed_capacity,
+    guaranteed_demand_exceeds_capacity,
     is_overloaded,
     starved_groups,
 )
-from gladecroft.coordination.admission.tiers import PriorityTiers
+from gladecroft.coordination.admission.tiers import AdmissionTiers
 from gladecroft.coordination.admission.window import USER_RETRY_SECONDS, JobFlow, job_quotas, next_window, retry_delay
 from gladecroft.coordination.context import ControllerContext
 from gladecroft.coordination.membership import Membership
@@ -34,31 +35,33 @@
 log = logging.getLogger(__name__)
 
 EVALUATION_INTERVAL = timedelta(seconds=1)
-#: Floors are enforced once a group has been below its floor for its class's target wait, limited to these bounds.
-#: Machines take half a minute to boot, so a class with an objective of two seconds is below its floor at every start.
+#: Floors are enforced once a group has been below its floor for the target wait of its class, clamped to these bounds.
+#: Machines take half a minute to boot, so a class with a target wait of two seconds is below its floor whenever it
+#: begins to queue work.
 MIN_STARVATION_TIME = timedelta(seconds=30)
 MAX_STARVATION_TIME = timedelta(seconds=60)
-#: The record is published at most once per interval and expires after the TTL: a change of leader costs a few
-#: generations at most, and a record that is no longer renewed soon has no effect.
+#: The record is published at most once per interval and expires after the TTL. The TTL covers several intervals, so the
+#: record survives a change of leader, and a record that is no longer renewed soon loses its effect.
 PUBLISH_INTERVAL = timedelta(seconds=5)
 RECORD_TTL = timedelta(seconds=30)
 #: The record is deleted once there has been no overload for this long.
 RECOVERY_TIME = timedelta(seconds=10)
 #: Relative change of a share below which the record is not published again.
 SHARE_TOLERANCE = 0.1
-#: Fractions of the unfinished jobs that a controller has memory for. Above the threshold submissions are limited by
-#: quotas, which add up to the target: jobs that arrive while a generation is being written need memory too.
+#: Fractions of the largest number of unfinished jobs that a controller has memory for. Above the threshold, submissions
+#: are limited by quotas that add up to the target. The target is below 1 because jobs that arrive while the next
+#: generation is being written need memory too.
 SHEDDING_THRESHOLD = 0.5
 SHEDDING_TARGET = 0.75
-#: Bytes of a record that are kept free for its fields other than the groups.
+#: Bytes of the record that are reserved for its fields other than the groups.
 RECORD_OVERHEAD_BYTES = 300
 
 
 class AdmissionControl:
     """Publishes the admission record while this controller leads, and applies the record in force.
 
-    ``fleet_capacity`` gives the resources of the machines that are up or booting, ``target_wait`` the seconds that a
-    class's tasks may wait, ``max_jobs`` the unfinished jobs that a controller has memory for.
+    ``fleet_capacity`` returns the resources of the machines that are up or booting, ``target_wait`` the seconds that
+    the tasks of a class may wait. ``max_jobs`` is the number of unfinished jobs that a controller has memory for.
     """
 
     def __init__(
@@ -75,49 +78,49 @@
         self._fleet_capacity = fleet_capacity
         self._target_wait = target_wait
         self._max_jobs = max_jobs
-        #: Jobs that had arrived and finished, by group, when the record was last published.
+        #: The numbers of jobs that had arrived and that had finished when the record was last published, by group.
         self._flow_snapshot: tuple[dict[JobGroup, int], dict[JobGroup, int]] = ({}, {})
         self._evaluated_at = timedelta(days=-1)
         self._published_at = timedelta(days=-1)
         self._overloaded_at = timedelta(days=-1)
-        #: Since when each starved group has been below its floor.
+        #: The time since which each starved group has been below its floor.
         self._below_floor_since: dict[JobGroup, timedelta] = {}
         self._was_leader = False
-        #: The encoded record to publish (None: to delete it), whether it must still be sent, and whether a commit is
-        #: in flight.
+        #: The encoded record to publish (None: delete the record), whether it must still be sent, and whether a commit
+        #: is in flight.
         self._pending_value: bytes | None = None
         self._must_send = self._in_flight = False
         self._retry_at = timedelta()
-        #: Set once a group has starved: from then on floors hold for all groups, also for new ones, until the
-        #: overload ends.
+        #: Set once a group has starved or the number of unfinished jobs exceeds the threshold. From then on the floors
+        #: of all groups are enforced, also those of new groups, until the overload ends.
         self._enforcing = False
 
     def active_record(self) -> rec.AdmissionRecord | None:
-        """The record in force; None if there is none, or if it has expired because it was not renewed."""
+        """Return the record in force; None if there is none, or if it has expired because it was not renewed."""
         record = self.cluster_state.admission
         if record is None or record.until_s <= self.context.wall_time.timestamp():
             return None
         return record
 
-    def tiers(self) -> PriorityTiers | None:
-        """The tiers for one scheduling round; None if no record is in force."""
+    def tiers(self) -> AdmissionTiers | None:
+        """Return the tiers for one scheduling round; None if no record is in force."""
         record = self.active_record()
         return (
             None
             if record is None
-            else PriorityTiers(record, self.cluster_state.workload.groups, self.cluster_state.teams_over_guarantee)
+            else AdmissionTiers(record, self.cluster_state.workload.groups, self.cluster_state.teams_over_guarantee)
         )
 
     def epoch_changed(self) -> None:
         """Reset the state on a change of leader; a new leader continues with the record in force."""
         epoch = self.cluster_state.epoch
-        leads = epoch is not None and epoch.leader == self.context.name
-        if not (leads and self._was_leader):
+        is_leader = epoch is not None and epoch.leader == self.context.name
+        if not (is_leader and self._was_leader):
             self._below_floor_since.clear()
             self._enforcing = self.active_record() is not None
             self._must_send = False
             self._snapshot_flow()
-        self._was_leader = leads
+        self._was_leader = is_leader
 
     def tick(self) -> None:
         """Evaluate the load and publish the record if this controller leads."""
@@ -137,8 +140,8 @@
     def _evaluate(self) -> None:
         now = self.context.now
         demands = {
-            group: GroupDemand((*use.used,), (*use.queued,))
-            for group, use in self.cluster_state.workload.groups.items()
+            group: GroupDemand((*usage.used,), (*usage.queued,))
+            for group, usage in self.cluster_state.workload.groups.items()
         }
         capacity = self._fleet_capacity()
         too_many_jobs = len(self.cluster_state.jobs) > SHEDDING_THRESHOLD * self._max_jobs
@@ -150,8 +153,8 @@
             if self.cluster_state.admission is not None:
                 self._publish(None)
             return
-        shares = fair_shares(demands, self.cluster_state.limits, capacity)
-        starved = starved_groups(demands, shares, capacity, self.cluster_state.limits)
+        shares = fair_shares(demands, self.cluster_state.team_settings, capacity)
+        starved = starved_groups(demands, shares, capacity, self.cluster_state.team_settings)
         self._below_floor_since = {group: self._below_floor_since.get(group, now) for group in starved}
         for group, since in self._below_floor_since.items():
             wait = timedelta(seconds=min(self._target_wait(group[1]), MAX_STARVATION_TIME.total_seconds()))
@@ -160,22 +163,27 @@
         self._enforcing |= too_many_jobs
         if self._enforcing:
             self._publish_shares(
-                demands, shares, guarantees_exceed_capacity(demands, self.cluster_state.limits, capacity)
+                demands, shares, guaranteed_demand_exceeds_capacity(demands, self.cluster_state.team_settings, capacity)
             )
 
     def _publish_shares(
-        self, demands: dict[JobGroup, GroupDemand], shares: dict[JobGroup, FairShare], guarantees_exceed: bool
+        self, demands: dict[JobGroup, GroupDemand], shares: dict[JobGroup, FairShare], guaranteed_demand_exceeds: bool
     ) -> None:
-        """Publish floors, shares and windows if they differ from the record in force or it needs renewal."""
-        # The record names all groups: one above its share may be below it a second later, and one that is not named
-        # would go on evicting those that are. Those furthest below their floors come first, in case a value cannot hold
-        # all of them.
-        order = sorted(shares, key=lambda group: (demands[group].used[0] / max(shares[group].floor, 1e-9), group))
+        """Publish floors, shares and windows if they differ from the record in force or the record needs renewal."""
+        # The record lists all groups. A group above its share may be below it a second later, and a group that is not
+        # listed would go on evicting tasks of the listed groups. The groups furthest below their floors come first,
+        # since the list is truncated if it exceeds the size limit of a value in the state service.
+        ordered_groups = sorted(
+            shares, key=lambda group: (demands[group].used[0] / max(shares[group].floor_cpus, 1e-9), group)
+        )
         windows = self._next_windows()
-        groups = [rec.GroupShare(*group, shares[group].floor, shares[group].share, *windows[group]) for group in order]
-        now, wall = self.context.now, int(self.context.wall_time.timestamp())
+        groups = [
+            rec.GroupShare(*group, shares[group].floor_cpus, shares[group].cpus, *windows[group])
+            for group in ordered_groups
+        ]
+        now, now_wall_s = self.context.now, int(self.context.wall_time.timestamp())
         previous = self.active_record()
-        is_fresh = previous is not None and previous.until_s - wall > RECORD_TTL.total_seconds() / 2
+        is_fresh = previous is not None and previous.until_s - now_wall_s > RECORD_TTL.total_seconds() / 2
         if now - self._published_at < PUBLISH_INTERVAL:
             return
         shedding = any(group.width < 1.0 for group in groups)
@@ -184,18 +192,18 @@
         record = rec.AdmissionRecord(
             1 if self.cluster_state.admission is None else self.cluster_state.admission.generation + 1,
             "shedding" if shedding else "shaping",
-            wall if previous is None else previous.since_s,
-            wall + int(RECORD_TTL.total_seconds()),
+            now_wall_s if previous is None else previous.since_s,
+            now_wall_s + int(RECORD_TTL.total_seconds()),
             _truncate_to_size(groups, self.cluster_state.max_value_bytes - RECORD_OVERHEAD_BYTES),
             secrets.token_hex(8) if previous is None else previous.salt,
-            guarantees_exceed,
+            guaranteed_demand_exceeds,
         )
         self._publish(record)
 
     def _next_windows(self) -> dict[JobGroup, tuple[float, float, float]]:
-        """The admission window (begin, width, sweep) of each group for the next generation."""
+        """Return the admission window (begin, width, sweep) of each group for the next generation."""
         workload = self.cluster_state.workload
-        jobs = {group: use.jobs for group, use in workload.groups.items()}
+        jobs = {group: usage.jobs for group, usage in workload.groups.items()}
         if sum(jobs.values()) <= SHEDDING_THRESHOLD * self._max_jobs:
             return dict.fromkeys(jobs, (0.0, 1.0, 0.0))
         quotas = job_quotas(jobs, int(SHEDDING_TARGET * self._max_jobs))
@@ -224,26 +232,30 @@
         return {} if record is None else {(each.team, each.job_class): each for each in record.groups}
 
     def retry_delay(self, spec: JobSpec) -> int | None:
-        """None if the submission of a new job is accepted, else the seconds after which to repeat it.
+        """Return None if the submission of a new job is accepted, else the seconds after which to retry it.
 
-        All controllers that apply the same generation give the same answer.
+        All controllers that apply the same generation return the same result.
         """
         record = self.active_record()
         if record is None or record.level != "shedding":
             return None
-        share = self._published_shares().get((spec.team, spec.job_class))
-        return None if share is None else retry_delay(share, record.salt, spec.id)
+        group_share = self._published_shares().get((spec.team, spec.job_class))
+        return None if group_share is None else retry_delay(group_share, record.salt, spec.id)
 
     def show(self) -> operators.AdmissionStatus:
-        """The record in force and the use of each group, those with the most queued cores first."""
+        """Return the record in force and the usage of each group; the groups with the most queued cores come first."""
         record, shares = self.active_record(), self._published_shares()
         groups = []
-        for group, use in self.cluster_state.workload.groups.items():
-            share = shares.get(group)
-            shown = operators.GroupStatus(*group, use.jobs, round(use.used[0], 2), round(use.queued[0], 2))
-            if share is not None:
-                admitted = 1.0 if share.width >= 1.0 else round(min(1.0, share.sweep * USER_RETRY_SECONDS), 3)
-                shown = msgspec.structs.replace(shown, floor=share.floor, share=share.share, taken=admitted)
+        for group, usage in self.cluster_state.workload.groups.items():
+            group_share = shares.get(group)
+            shown = operators.GroupStatus(*group, usage.jobs, round(usage.used[0], 2), round(usage.queued[0], 2))
+            if group_share is not None:
+                admitted = (
+                    1.0 if group_share.width >= 1.0 else round(min(1.0, group_share.sweep * USER_RETRY_SECONDS), 3)
+                )
+                shown = msgspec.structs.replace(
+                    shown, floor=group_share.floor_cpus, share=group_share.share_cpus, taken=admitted
+                )
             groups.append(shown)
         groups.sort(key=lambda each: (-each.waiting, each.team, each.job_class))
         if record is None:
@@ -251,7 +263,7 @@
         return operators.AdmissionStatus(record.level, record.generation, record.since_s, record.until_s, groups)
 
     def _publish(self, record: rec.AdmissionRecord | None) -> None:
-        """Write the record, or delete it (None). Until a write succeeds the previous record stays in force."""
+        """Write the record, or delete it (None). The previous record stays in force until a write succeeds."""
         self._published_at = self.context.now
         self._snapshot_flow()
         self._pending_value = None if record is None else msgspec.json.encode(record)
@@ -259,52 +271,57 @@
         self._send()
 
     def _send(self) -> None:
-        """Commit the pending value in a transaction of its own, which costs one write in five seconds.
+        """Commit the pending value in a transaction of its own, which costs at most one write per publish interval.
 
-        Under a burst of submissions, which use up the write budget one by one, the state writer of a leader that is no
-        home controller may not get to a transaction for minutes.
+        The state writer is not used. During a burst of submissions, each of which consumes write budget, the state
+        writer of a leader that is not the home controller of any team (the controller that schedules the team's jobs)
+        may not get to commit a transaction for minutes.
 
         The transaction is conditional on the epoch and on the version of the previous record. An unknown outcome does
-        no harm: if the commit was executed the watch delivers it, and if it arrives later its condition fails.
+        no harm: if the commit was executed, the watch delivers the record; if the commit is executed late, after
+        another generation, its condition fails.
         """
         context, value = self.context, self._pending_value
         conditions = [wire.Condition(key, self.cluster_state.version(key)) for key in (rec.EPOCH, rec.ADMISSION)]
         op = wire.Delete(rec.ADMISSION) if value is None else wire.Put(rec.ADMISSION, msgspec.Raw(value))
 
-        def then(status: int, body: bytes) -> None:
+        def on_commit_result(status: int, body: bytes) -> None:
             self._in_flight = False
-            context.count_writes("admission" if status == 200 else f"refused ({status})")
+            context.count_writes("admission" if status == 200 else f"failed ({status})")
             if status == 200:
                 self.cluster_state.apply(rec.ADMISSION, value, wire.decode(wire.TxnReply, body).revision)
                 self._log_record()
             elif status in (-1, 429, 503):
-                # Not executed; an immediate retry would be refused again.
+                # The commit was not executed; an immediate retry would fail again.
                 self._must_send, self._retry_at = True, context.now + EVALUATION_INTERVAL
 
         body = wire.encode(wire.Txn(conditions, [op]))
-        if not self._in_flight and context.call_state("POST", wire.COMMIT_PATH, body, then, writes=1):
+        if not self._in_flight and context.call_state("POST", wire.COMMIT_PATH, body, on_commit_result, writes=1):
             self._in_flight, self._must_send = True, False
 
     def _log_record(self) -> None:
         record = self.cluster_state.admission
         if record is None:
-            log.info("admission: overload is over, record deleted")
+            log.info("admission: overload has ended, record deleted")
             return
-        shares = [f"{each.team}/{each.job_class} {each.floor:.0f} of {each.share:.0f}" for each in record.groups]
+        shares = [
+            f"{each.team}/{each.job_class} {each.floor_cpus:.0f} of {each.share_cpus:.0f}" for each in record.groups
+        ]
         log.info("admission: generation %d, %s: %s", record.generation, record.level, "; ".join(shares[:6]))
 
 
 def _same_shares(previous: list[rec.GroupShare], current: list[rec.GroupShare]) -> bool:
-    """Whether both lists name the same groups with shares that differ by no more than the tolerance."""
+    """Return whether both lists have the same groups with shares that differ by no more than the tolerance."""
     previous_shares = {(each.team, each.job_class): each for each in previous}
     return previous_shares.keys() == {(each.team, each.job_class) for each in current} and all(
-        abs(each.share - previous_shares[(each.team, each.job_class)].share) <= SHARE_TOLERANCE * max(each.share, 1.0)
+        abs(each.share_cpus - previous_shares[(each.team, each.job_class)].share_cpus)
+        <= SHARE_TOLERANCE * max(each.share_cpus, 1.0)
         for each in current
     )
 
 
 def _truncate_to_size(groups: list[rec.GroupShare], max_bytes: int) -> list[rec.GroupShare]:
-    """The longest prefix of the groups whose encoding takes at most ``max_bytes``."""
+    """Return the longest prefix of the groups whose encoding takes at most ``max_bytes``."""
     size = 0
     for index, group in enumerate(groups):
         size += len(msgspec.json.encode(group)) + 1
--- a/src/gladecroft/coordination/admission/drf.py
+++ b/src/gladecroft/coordination/admission/drf.py
@@ -2,9 +2,9 @@
 
 After A. Ghodsi et al., "Dominant Resource Fairness: Fair Allocation of Multiple Resource Types", NSDI '11. A group's
 *dominant share* is the largest fraction that it gets of any one resource. Guarantees are granted first. Then the
-dominant shares of all groups rise together, in proportion to their weights; a group's share stops rising when its
-demand is met, its limit is reached, or a resource that it needs is exhausted. What a group leaves unused goes to the
-others.
+dominant shares of all groups rise together, in proportion to their weights. A group's share stops rising when its
+demand is met, its limit is reached, or a resource that it needs is exhausted. Capacity that a group leaves unused is
+divided among the other groups.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 
 
 class ResourceDemand(msgspec.Struct, frozen=True):
-    """The resources that a group could use at once, its weight, and the fractions of the demand (0 to 1) that are
-    guaranteed and that its limit allows."""
+    """The resources that a group could use simultaneously, its weight, and the fractions (0 to 1) of its demand that
+    are guaranteed and that its limit allows."""
 
     amounts: ResourceVector
     weight: float = 1.0
@@ -33,32 +33,36 @@
 
 
 def dominant_share(amounts: ResourceVector, capacity: ResourceVector) -> float:
-    """The largest fraction of any resource that the amounts take; resources without capacity are ignored."""
+    """Return the largest fraction of any resource that the amounts take; resources without capacity are ignored."""
     return max(
         (amount / available for amount, available in zip(amounts, capacity, strict=True) if available > 0), default=0.0
     )
 
 
 def drf_fractions(demands: Mapping[K, ResourceDemand], capacity: ResourceVector) -> dict[K, float]:
-    """The fraction (0 to 1) of its demand that each group is granted.
+    """Return the fraction (0 to 1) of its demand that each group is granted.
 
-    Guarantees that together exceed the capacity are scaled down by a common factor. Properties (checked in
+    If guarantees together exceed the capacity, they are scaled down by a common factor. Properties (checked in
     ``test_admission``): the capacity is not exceeded; each group gets at least an equal part of every resource or its
-    whole demand (sharing incentive); no group would prefer another's allocation (envy-freeness) or gains by overstating
+    whole demand (sharing incentive); no group would prefer another's allocation (envy-freeness) or gain by overstating
     its demand (strategy-proofness); capacity stays unused only if no group can use it (work conservation).
     """
     return _ProgressiveFilling(demands, capacity).fill() if demands else {}
 
 
 class _ProgressiveFilling(Generic[K]):
-    """Progressive filling: the level is the dominant share divided by the weight, equal for all active groups."""
+    """Progressive filling. The level is the dominant share divided by the weight, which is equal for all active groups.
+
+    A group is active while its granted fraction can still rise.
+    """
 
     def __init__(self, demands: Mapping[K, ResourceDemand], capacity: ResourceVector) -> None:
         self.demands = demands
         self.capacity = capacity
         self.dominant_shares = {key: dominant_share(demand.amounts, capacity) for key, demand in demands.items()}
         self.max_fractions = {key: max(0.0, min(1.0, demand.max_fraction)) for key, demand in demands.items()}
-        # A group that needs a resource without capacity gets nothing, and doesn't stop the others from rising.
+        # A group that needs a resource without capacity gets nothing, and does not stop the shares of other groups from
+        # rising.
         for key, demand in demands.items():
             if any(
                 amount > EPSILON and available <= 0 for amount, available in zip(demand.amounts, capacity, strict=True)
@@ -94,7 +98,7 @@
         return self.fractions
 
     def _still_active(self) -> set[K]:
-        """The active groups whose fraction can still grow and that need no exhausted resource."""
+        """Return the active groups whose granted fraction can still rise and that need no exhausted resource."""
         exhausted = [
             amount >= available * (1 - 1e-6) for amount, available in zip(self._used(), self.capacity, strict=True)
         ]
@@ -110,10 +114,10 @@
         }
 
     def _next_level(self, level: float) -> float:
-        """The level up to which the active groups can rise before a resource is exhausted or all have stopped.
+        """Return the level up to which the active groups can rise before a resource is exhausted or all have stopped.
 
-        Use is piecewise linear in the level: each group begins to grow where its guarantee ends and stops where its
-        maximum is reached.
+        Resource usage is piecewise linear in the level: the granted fraction of a group starts to rise at the level
+        where it exceeds the guaranteed fraction, and stops at its maximum.
         """
         events: list[tuple[float, int, K]] = []
         for index, key in enumerate(sorted(self.active, key=repr)):
@@ -144,7 +148,7 @@
         return level
 
     def _used(self) -> list[float]:
-        """The amount of each resource that the present fractions use."""
+        """Return the amount of each resource that the current granted fractions use."""
         used = [0.0] * len(self.capacity)
         for key, demand in self.demands.items():
             for index, amount in enumerate(demand.amounts):
--- a/src/gladecroft/coordination/admission/tiers.py
+++ b/src/gladecroft/coordination/admission/tiers.py
@@ -1,7 +1,8 @@
-"""Tiers of queued work while an admission record is in force.
+"""Tiers of queued jobs while an admission record is in force.
 
-Across all priorities, work of groups below their floor comes first, and work of groups that have reached their share
-comes last and evicts nothing.
+Tiers take precedence over job priorities. Jobs of groups (team and job class) below their floor are in the tier BOOSTED
+and are scheduled first. Jobs of groups that have reached their fair share are in the tier DEFERRED; they are scheduled
+last and evict no tasks.
 """
 
 from __future__ import annotations
@@ -14,58 +15,75 @@
 BOOSTED, NORMAL, DEFERRED = 0, 1, 2
 
 
-class PriorityTiers:
-    """The tier of each group in one scheduling round, in which planned cores count as used.
+class AdmissionTiers:
+    """The tier of each group in one scheduling round.
 
-    All home controllers compute the tiers from the same record and the same attempts.
+    Cores that were tentatively placed in this round count towards the tier of a group, but not towards the protection
+    of its tasks from eviction. The home controller of a team is the only one that schedules its
+    jobs. All home controllers compute the tiers from the same record and the same usage, so their tiers are equal.
     """
 
     def __init__(
-        self, record: AdmissionRecord, groups: Mapping[JobGroup, GroupUsage], over_guarantee: Container[str] = ()
+        self, record: AdmissionRecord, groups: Mapping[JobGroup, GroupUsage], teams_over_guarantee: Container[str] = ()
     ) -> None:
-        self._guarantees_exceed = record.scarce
-        self._over_guarantee = over_guarantee
+        self._guaranteed_demand_exceeds_capacity = record.guaranteed_demand_exceeds_capacity
+        self._teams_over_guarantee = teams_over_guarantee
         self._shares: dict[JobGroup, GroupShare] = {(each.team, each.job_class): each for each in record.groups}
-        self._groups = groups
-        self._planned: dict[JobGroup, float] = {}
-        # Groups within their share, and new ones that the record does not name yet, are protected: evicting their tasks
-        # would at once undo what their floor has placed. A group below its own floor may, by its priority, evict what
-        # others have above theirs.
-        self._within_share = frozenset(group for group in groups if not self._exceeds(group, share=True))
-        self._within_floor = frozenset(group for group in groups if not self._exceeds(group, share=False))
+        self._usage_by_group = groups
+        self._tentative_cpus: dict[JobGroup, float] = {}
+        # Groups within their share, and new groups that the record does not list yet, are protected from eviction:
+        # evicting their tasks would undo placements that were just made to reach their floor. A group below its floor
+        # may evict tasks of lower priority of groups above their floor.
+        self._groups_within_share = frozenset(
+            group for group in groups if not self._exceeds_share_or_floor(group, against_share=True)
+        )
+        self._groups_within_floor = frozenset(
+            group for group in groups if not self._exceeds_share_or_floor(group, against_share=False)
+        )
 
     def guarantee_applies(self, group: JobGroup, within_guarantee: bool) -> bool:
-        """Whether the work is within its team's guarantee and keeps the privileges of that.
+        """Return whether a job of this group has the privileges of its team's guarantee.
 
-        When the guarantees together exceed the capacity, a team with more work than its guarantee loses the privileges
-        and goes by the shares of its classes; otherwise its highest-priority jobs would take all of its guarantee.
+        Such a job is never deferred, and no group's tasks are protected from being evicted for it. If the demand
+        within the guarantees exceeds the capacity, a team that demands more than its guarantee loses these privileges,
+        and its jobs are scheduled according to the shares of their classes. Otherwise the team's highest-priority jobs
+        would take all of its guarantee.
         """
-        return within_guarantee and not (self._guarantees_exceed and group[0] in self._over_guarantee)
+        return within_guarantee and not (
+            self._guaranteed_demand_exceeds_capacity and group[0] in self._teams_over_guarantee
+        )
 
     def tier_of(self, group: JobGroup, within_guarantee: bool) -> int:
-        """The tier of a group's work; work to which its team's guarantee applies is never in the last one."""
-        share = self._shares.get(group)
-        if share is None:
+        """Return the tier of a job of this group; a job to which its team's guarantee applies is never deferred."""
+        group_share = self._shares.get(group)
+        if group_share is None:
             return NORMAL
-        use = self._groups.get(group)
-        used = (0.0 if use is None else use.used[0]) + self._planned.get(group, 0.0)
-        if used < share.floor:
+        usage = self._usage_by_group.get(group)
+        used_cpus = (0.0 if usage is None else usage.used[0]) + self._tentative_cpus.get(group, 0.0)
+        if used_cpus < group_share.floor_cpus:
             return BOOSTED
-        return DEFERRED if used >= share.share and not self.guarantee_applies(group, within_guarantee) else NORMAL
+        return (
+            DEFERRED
+            if used_cpus >= group_share.share_cpus and not self.guarantee_applies(group, within_guarantee)
+            else NORMAL
+        )
 
-    def _exceeds(self, group: JobGroup, share: bool) -> bool:
-        limits = self._shares.get(group)
-        if limits is None:
+    def _exceeds_share_or_floor(self, group: JobGroup, against_share: bool) -> bool:
+        group_share = self._shares.get(group)
+        if group_share is None:
             return False
-        return self._groups[group].used[0] > (limits.share if share else limits.floor) + 1e-6
+        return (
+            self._usage_by_group[group].used[0]
+            > (group_share.share_cpus if against_share else group_share.floor_cpus) + 1e-6
+        )
 
     def protected_groups(self, group: JobGroup, within_guarantee: bool, tier: int) -> frozenset[JobGroup]:
-        """The groups whose tasks must not be evicted for work of this group and tier."""
+        """Return the groups whose tasks must not be evicted for a job of this group and tier."""
         if self.guarantee_applies(group, within_guarantee):
             return frozenset()
-        return self._within_floor if tier == BOOSTED else self._within_share
+        return self._groups_within_floor if tier == BOOSTED else self._groups_within_share
 
-    def add_planned(self, group: JobGroup, cpus: float) -> None:
-        """Count planned cores as used by the group."""
+    def add_tentative_cpus(self, group: JobGroup, cpus: float) -> None:
+        """Count cores that were tentatively placed in this round as used by the group."""
         if group in self._shares:
-            self._planned[group] = self._planned.get(group, 0.0) + cpus
+            self._tentative_cpus[group] = self._tentative_cpus.get(group, 0.0) + cpus
--- a/src/gladecroft/coordination/consent.py
+++ b/src/gladecroft/coordination/consent.py
@@ -1,22 +1,24 @@
-"""Permission to keep answering machines during an outage of the state service, given by all peers.
+"""Consent of all peers to keep renewing machine leases during an outage of the state service.
 
-A controller is active for one member lease after its last confirmed renewal, because no other controller can take over
-its machines within that time. During an outage nobody can take them over at all, but a controller can't tell an outage
-from being the only one that is not served. Its peers can: each says whether the state service serves it, and whether
-it knows a newer epoch. While every peer, member or not, denies both, this controller keeps answering its machines, so
-that no work is lost to expired machine leases.
+A reply to a machine's report renews the machine's lease on its tasks; without replies the machine kills them. A
+controller is active, and may reply, for one member lease after its last confirmed renewal, because no other controller
+can take over its machines within that time. During an outage of the state service no controller can take them over at
+all, but a controller can't tell an outage from being the only one that is not served. It therefore asks its peers. A
+peer consents if the state service does not serve it either and it knows no newer epoch. While all peers, members of the
+epoch or not, consent, this controller keeps replying to its machines, so that no work is lost to expired machine
+leases.
 
 ``docs/safety.md`` explains why this is safe. In short: a controller that acts under a newer epoch has learned of that
-epoch before and no longer consents, so this controller stops within one member lease of that, as it would without
-consent. A right to answer that has expired is never restored here.
+epoch before and consents no more, so this controller stops replying within one member lease of that, as it would
+without consent. Consent only extends a right to reply; once expired, the right returns only with a confirmed renewal.
 
 Each consent also carries the cancellations that the peer knows and this controller does not. They are committed records
 and are applied as if the watch had delivered them, so the affected tasks are stopped with the next replies to their
-machines. Only a cancellation acknowledged to a user after the last complete round can be unknown here; its time limit
-has not passed when the extension ends.
+machines. A cancellation that is still unknown here was acknowledged to its user after all peers were last asked and
+replied with complete lists. The extension ends before the tasks of such a job must have stopped (``cancel_s``).
 
-This module keeps track of what the peers have said. It never allows a controller to commit, to rent, return or move
-machines, or to send commands other than in replies to reports.
+Consent allows nothing but replies to reports and the commands in them: no commits, no direct commands to machines, and
+no renting, returning or moving of machines.
 """
 
 from __future__ import annotations
@@ -34,44 +36,44 @@
 
 log = logging.getLogger(__name__)
 
-#: Consent requests per member lease: one or two lost messages must not end the consent.
+#: Consent requests per member lease. One or two lost messages must not let the consent expire.
 REQUESTS_PER_LEASE = 10
-#: Fraction of the time between the machine lease and the cancellation limit for which machines may be answered without
-#: knowing the newest cancellations.
-STALE_REPLY_SHARE = 0.8
-#: Time that must remain after that: a worker ends its tasks slightly after its lease has expired.
+#: Fraction of ``cancel_s - lease_s`` for which a controller may reply to machines without knowing the newest
+#: cancellations. ``cancel_s`` is the time within which the tasks of a cancelled job must have stopped.
+STALE_REPLY_FRACTION = 0.8
+#: Minimum for the rest of that time. It is needed because a worker kills its tasks slightly after its lease expires.
 MIN_CANCEL_MARGIN = timedelta(seconds=1)
 NEVER = timedelta(days=-1)
 
 
 class PeerConsent:
-    """Asks the peers for consent during an outage, and answers their requests."""
+    """Requests consent from the peers during an outage, and replies to their requests."""
 
     def __init__(self, context: ControllerContext, membership: Membership) -> None:
         self.context = context
         self.membership = membership
         self._peers = [peer.name for peer in context.platform.peers]
-        #: By peer: when the latest request that it consented to was sent, in this epoch.
+        #: By peer: when the latest request that it consented to in this epoch was sent.
         self._consented_at: dict[str, timedelta] = {}
-        #: By peer: the same for the latest consent that listed all cancellations.
-        self._complete_at: dict[str, timedelta] = {}
+        #: By peer: when the latest request in this epoch was sent whose reply listed all cancellations.
+        self._complete_consent_at: dict[str, timedelta] = {}
         self._requests_in_flight: set[str] = set()
         self._last_request_at = NEVER
         self._extended_until = NEVER
         workers = context.cluster.workers
         cancel_margin = timedelta(seconds=workers.cancel_s - workers.lease_s)
-        self._max_extension = STALE_REPLY_SHARE * cancel_margin / CLOCK_SKEW_FACTOR
-        self._enabled = (1 - STALE_REPLY_SHARE) * cancel_margin >= MIN_CANCEL_MARGIN
+        self._max_extension = STALE_REPLY_FRACTION * cancel_margin / CLOCK_SKEW_FACTOR
+        self._enabled = (1 - STALE_REPLY_FRACTION) * cancel_margin >= MIN_CANCEL_MARGIN
         if not self._enabled and self._peers:
-            log.info("cancel_s exceeds lease_s by only %g s: machines will not be answered by consent in an outage",
+            log.info("cancel_s exceeds lease_s by only %g s: consent in an outage will not extend replies to machines",
                      cancel_margin.total_seconds())  # fmt: skip
 
-    def may_answer_machines(self) -> bool:
-        """Whether this controller may answer its machines: it is active, or all peers consent."""
+    def may_reply_to_reports(self) -> bool:
+        """Whether this controller may reply to machine reports: it is active, or all peers consent."""
         return self.membership.is_active() or self.membership.caught_up() and self.context.now < self._extended_until
 
     def outage_confirmed(self) -> bool:
-        """Whether every peer has recently said that the state service does not serve it either."""
+        """Whether the state service serves neither this controller nor, by their recent consent, any of its peers."""
         recent = self.context.now - self.context.member_ttl / 2
         return self.context.state_failing() and all(
             self._consented_at.get(name, NEVER) > recent for name in self._peers
@@ -80,17 +82,17 @@
     def epoch_changed(self) -> None:
         """Discard consent given in an earlier epoch."""
         self._consented_at.clear()
-        self._complete_at.clear()
+        self._complete_consent_at.clear()
         self._extended_until = NEVER
 
     def tick(self) -> None:
-        """Request consent from the peers and extend the right to answer, while the state service fails."""
+        """Request consent from the peers and extend the right to reply to machines, while the state service fails."""
         context, membership = self.context, self.membership
         epoch = membership.epoch
         if not context.state_failing():
-            # Inactive while the state service answers. Earlier consent must not count in the next outage.
+            # No outage. Earlier consent must not count in the next one.
             self._consented_at.clear()
-            self._complete_at.clear()
+            self._complete_consent_at.clear()
             if context.now >= self._extended_until:
                 self._extended_until = NEVER
             return
@@ -108,49 +110,50 @@
         context = self.context
         valid_until = max(self._extended_until, self.membership.active_until)
         if context.now >= valid_until:
-            # Expired: another controller may own the machines by now. Only a confirmed renewal restores the right.
+            # Expired: another controller may own the machines by now. Only a confirmed renewal restores the right to
+            # reply.
             return
         oldest_consent = min(self._consented_at.get(name, NEVER) for name in self._peers)
-        # A controller that acknowledges a cancellation to a user knows it, so any cancellation that is unknown here was
-        # acknowledged after this time.
-        oldest_complete = min(self._complete_at.get(name, NEVER) for name in self._peers)
+        # A peer that has acknowledged a cancellation to a user includes it in its next complete list. So a cancellation
+        # that is unknown here was acknowledged after this time.
+        oldest_complete = min(self._complete_consent_at.get(name, NEVER) for name in self._peers)
         until = min(
             oldest_consent + context.member_ttl / CLOCK_SKEW_FACTOR,
             max(self.membership.renewed_at, oldest_complete) + self._max_extension,
         )
         if until > valid_until:
             if self._extended_until == NEVER:
-                log.info("state service outage: answering machines by consent of all peers")
+                log.info("state service outage: replying to machines by consent of all peers")
             self._extended_until = until
 
-    def _request_consent(self, name: str, epoch: int) -> None:
+    def _request_consent(self, peer: str, epoch_number: int) -> None:
         sent_at = self.context.now
 
         def on_result(status: int, body: bytes) -> None:
-            self._requests_in_flight.discard(name)
+            self._requests_in_flight.discard(peer)
             if status != 200:
                 return
             try:
                 reply: peers.ConsentReply = wire.decode(peers.ConsentReply, body)
             except msgspec.DecodeError as error:
-                log.error("malformed consent reply from %s: %s", name, error)
+                log.error("malformed consent reply from %s: %s", peer, error)
                 return
             for cancelled in reply.cancelled:
                 self._apply_cancellation(cancelled)
             current_epoch = self.membership.epoch
-            if current_epoch is not None and current_epoch.number == epoch and self.context.state_failing():
-                self._consented_at[name] = max(sent_at, self._consented_at.get(name, NEVER))
+            if current_epoch is not None and current_epoch.number == epoch_number and self.context.state_failing():
+                self._consented_at[peer] = max(sent_at, self._consented_at.get(peer, NEVER))
                 if reply.complete:
-                    self._complete_at[name] = max(sent_at, self._complete_at.get(name, NEVER))
+                    self._complete_consent_at[peer] = max(sent_at, self._complete_consent_at.get(peer, NEVER))
 
-        request = peers.ConsentRequest(epoch, self.context.cluster_state.revision)
-        if self.context.call_peer(name, peers.CONSENT_PATH, wire.encode(request), on_result):
-            self._requests_in_flight.add(name)
+        request = peers.ConsentRequest(epoch_number, self.context.cluster_state.revision)
+        if self.context.call_peer(peer, peers.CONSENT_PATH, wire.encode(request), on_result):
+            self._requests_in_flight.add(peer)
 
     def _apply_cancellation(self, cancelled: peers.CancelledJob) -> None:
         """Apply a committed cancellation that the watch has not delivered yet.
 
-        A cancellation changes nothing in the job record but its flag, so job id and revision are sufficient.
+        A cancellation changes only the ``cancelled`` flag of the job record, so job id and version are sufficient.
         """
         cluster_state = self.context.cluster_state
         job = cluster_state.jobs.get(cancelled.job)
@@ -160,11 +163,11 @@
             log.info("job %s: cancelled according to a peer", job.id)
 
     def handle_request(self, request: IncomingRequest) -> None:
-        """Answer a peer that asks whether it may keep answering its machines under its epoch.
+        """Reply to a peer that requests consent to keep replying to its machines under its epoch.
 
-        Consent is denied if the state service serves this controller, since then only the peer is cut off and has to be
-        replaced, and if this controller has ever known a newer epoch, since in that epoch the machines may belong to
-        another controller.
+        Consent is denied in two cases. If the state service serves this controller, the peer is merely cut off and must
+        be replaced. If this controller has ever known a newer epoch, the peer's machines may belong to another
+        controller in that epoch.
         """
         message = self.context.decode_request(request, peers.ConsentRequest)
         if message is None:
@@ -177,10 +180,11 @@
             self.context.reply(request.request_id, 200, wire.encode(self._build_reply(message.revision)))
 
     def _build_reply(self, revision: int | None) -> peers.ConsentReply:
-        """Build the consent with all cancellations newer than the peer's revision.
+        """Build a consent that lists the cancellations newer than the peer's revision.
 
-        Every cancellation that this controller has acknowledged was in its cluster state first, or, after a
-        restart, in the records it has read since. Finished jobs are left out: they have no tasks to stop.
+        The list is complete, up to the message limit: every cancellation that this controller has acknowledged was
+        applied to its cluster state first, or, if the controller has restarted, was among the records it has loaded
+        since. Finished jobs are left out, since they have no tasks to stop.
         """
         context = self.context
         if revision is None or not context.records_loaded:
--- a/src/gladecroft/coordination/context.py
+++ b/src/gladecroft/coordination/context.py
@@ -28,14 +28,15 @@
 PEER_TIMEOUT = timedelta(seconds=1)
 #: Delay before a failed request is sent again.
 RETRY_DELAY = timedelta(seconds=0.4)
-#: Fraction of the write budget that is divided evenly; the rest follows each controller's share of the work.
+#: Fraction of the write budget that is divided evenly among the controllers. The rest is divided in proportion to the
+#: queued and running work of which each controller is the home controller.
 EVEN_WRITE_SHARE = 0.4
-#: While the state service rate-limits nobody, a controller may write this many times its share.
+#: Until a write is rate-limited, a controller may write at this multiple of its share.
 WRITE_BORROW_FACTOR = 1.7
-#: No borrowing for this long after a rate-limited request.
+#: A controller keeps to its share for this long after the state service has rate-limited one of its requests.
 WRITE_BORROW_BACKOFF = timedelta(seconds=10)
 USAGE_LOG_INTERVAL = timedelta(seconds=30)
-#: Upper bound on the ratio between the rates of two monotonic clocks, each of which may drift by MAX_CLOCK_DRIFT.
+#: Upper bound on the ratio between the rates of two monotonic clocks, each of which may drift by ``MAX_CLOCK_DRIFT``.
 CLOCK_SKEW_FACTOR = 1 + 2 * MAX_CLOCK_DRIFT
 
 
@@ -61,7 +62,10 @@
         return self.tokens
 
     def try_take(self, now: timedelta, amount: float = 1.0, reserve: float = 0.0) -> bool:
-        """Take the tokens if at least ``reserve`` remain. An amount above the burst needs a full bucket."""
+        """Take ``amount`` tokens if at least ``reserve`` remain after that.
+
+        If both together exceed the burst, a full bucket is sufficient.
+        """
         if self.available(now) < min(amount + reserve, self.burst):
             return False
         self.tokens -= amount
@@ -95,16 +99,16 @@
         self.records_loaded = False
         self.state_served_at: timedelta | None = None
         self.state_failing_since: timedelta | None = None
-        controllers = len(platform.peers) + 1
+        controller_count = len(platform.peers) + 1
         state, cloud = self.cluster.state, self.cluster.cloud
-        self.state_requests = TokenBucket(state.rps / controllers, state.rps / controllers)
-        self.state_writes = TokenBucket(state.write_rps / controllers, state.write_rps / controllers)
-        self.cloud_calls = TokenBucket(cloud.rps / controllers, cloud.rps)
-        #: While both user requests and the state writer lack write budget, they alternate.
-        self.users_need_writes = self.state_writer_needs_writes = False
-        self.state_writer_first = True
+        self.state_requests = TokenBucket(state.rps / controller_count, state.rps / controller_count)
+        self.state_writes = TokenBucket(state.write_rps / controller_count, state.write_rps / controller_count)
+        self.cloud_calls = TokenBucket(cloud.rps / controller_count, cloud.rps)
+        #: While both user requests and the state writer wait for write budget, they take turns.
+        self.users_waiting_for_budget = self.writer_waiting_for_budget = False
+        self.writer_has_turn = True
         self._write_share = self.state_writes.rate
-        self._controller_count = controllers
+        self._controller_count = controller_count
         self._rate_limited_at: timedelta | None = None
         self._peer_addrs = {peer.name: peer.peer_addr for peer in platform.peers}
         self._effects: list[Effect] = []
@@ -119,7 +123,7 @@
         self._writes_by_cause[cause] += amount
 
     def log_write_usage(self) -> None:
-        """Periodically log what the writes were used for: they are the scarcest budget."""
+        """Periodically log the number of writes by cause: writes are the scarcest budget."""
         if self.now - self._usage_logged_at < USAGE_LOG_INTERVAL:
             return
         self._usage_logged_at = self.now
@@ -133,15 +137,15 @@
             )
             self._writes_by_cause.clear()
 
-    def divide_budgets(self, controllers: int, is_leader: bool) -> None:
-        """Set this controller's share of the state service and cloud budgets."""
+    def divide_budgets(self, controller_count: int, is_leader: bool) -> None:
+        """Set this controller's share of the state service and cloud budgets, by the number of controllers."""
         state, cloud = self.cluster.state, self.cluster.cloud
-        share = 0.95 / max(1, controllers)
+        share = 0.95 / max(1, controller_count)
         self.state_requests.set_rate(state.rps * share, state.rps * share)
-        self._controller_count = max(1, controllers)
+        self._controller_count = max(1, controller_count)
         self.set_write_share(1 / self._controller_count)
-        # Only the leader rents and lists machines; the others occasionally fetch the machine types.
-        others_share = 0.05 * max(0, controllers - 1)
+        # Only the leader rents and lists machines; the other controllers occasionally fetch the machine types.
+        others_share = 0.05 * max(0, controller_count - 1)
         self.cloud_calls.set_rate(
             cloud.rps * (0.9 - others_share if is_leader else 0.05), cloud.rps if is_leader else 1.0
         )
@@ -149,23 +153,26 @@
     def set_write_share(self, work_share: float) -> None:
         """Set the share of the write budget from this controller's share of all queued and running work (0 to 1).
 
-        Most writes are made by the home controllers of queued and running jobs. All controllers see nearly the same
-        work, so their shares add up to the whole budget.
+        Most writes are made by home controllers, which place the tasks of their teams' jobs. All controllers compute
+        the shares from nearly the same records, so the shares add up to about 1.
         """
         even_share = EVEN_WRITE_SHARE / self._controller_count
         self._write_share = 0.95 * self.cluster.state.write_rps * (even_share + (1 - EVEN_WRITE_SHARE) * work_share)
         self.update_write_rate()
 
     def update_write_rate(self) -> None:
-        """Update the write rate. Controllers are rarely all busy, so each may exceed its share until rate-limited."""
+        """Update the write rate.
+
+        The controllers are rarely all busy at once, so each may exceed its share until it is rate-limited.
+        """
         state = self.cluster.state
         max_rate = 0.9 * state.write_rps
         may_borrow = self._rate_limited_at is None or self.now - self._rate_limited_at > WRITE_BORROW_BACKOFF
         rate = min(max_rate, self._write_share * (WRITE_BORROW_FACTOR if may_borrow else 1.0))
         if rate != self.state_writes.rate:
-            # With many controllers and a small budget, one second's share may be less than one transaction, and work
-            # that needs several writes would never start. The service allows bursts, and controllers rarely burst at
-            # the same time.
+            # With many controllers and a small budget, one second's share may be less than one transaction, and a
+            # transaction with several writes would never be sent. The state service allows bursts, and controllers
+            # rarely burst at the same time.
             self.state_writes.set_rate(rate, max(rate, min(state.txn_ops / 2, state.write_rps / 4)))
 
     # Calls ---------------------------------------------------------------------------------------------------
@@ -197,8 +204,8 @@
     ) -> bool:
         """Call the state service; return False if the budget does not allow it now.
 
-        ``writes`` is the number of writes in the request, ``reserve`` the number of requests to leave for other
-        callers. Urgent calls, such as renewals, ignore the request budget.
+        ``writes`` is the number of writes in the request, ``reserve`` the number of requests to leave in the budget for
+        other callers. Urgent calls, such as lease renewals, ignore the request budget but not the write budget.
         """
         reserve = 0.0 if urgent else min(reserve, self.state_requests.burst / 4)
         if self.state_requests.available(self.now) < 1 + reserve and not urgent:
@@ -210,7 +217,7 @@
         return True
 
     def min_interval(self, share: float, minimum: timedelta) -> timedelta:
-        """Interval between state service requests that keeps them within this share of the request budget."""
+        """Interval between state service requests, at least ``minimum``, that uses this share of the request budget."""
         return max(minimum, timedelta(seconds=1 / (share * max(1.0, self.state_requests.rate))))
 
     def call_cloud(self, method: str, path: str, body: bytes | None, on_result: ResultHandler) -> bool:
@@ -253,24 +260,24 @@
         on_result(status, body)
 
     def state_failing(self) -> bool:
-        """Whether the state service has failed to serve this controller since it last did."""
+        """Whether the latest conclusive call to the state service failed; a rate-limited call is not conclusive."""
         return self.state_failing_since is not None
 
     def state_down(self) -> bool:
-        """Whether the state service has never served this controller, or has been failing for more than a second."""
+        """Whether no call to the state service has succeeded yet, or calls have been failing for more than a second."""
         if self.state_served_at is None:
             return True
         return self.state_failing_since is not None and self.now - self.state_failing_since > timedelta(seconds=1)
 
     # Replies -------------------------------------------------------------------------------------------------
 
-    def reply(self, request_id: int, status: int, body: bytes = b"", retry_after: int | None = None) -> None:
-        """Answer an incoming request."""
-        self._effects.append(Reply(request_id, status, body, retry_after))
+    def reply(self, request_id: int, status: int, body: bytes = b"", retry_after_s: int | None = None) -> None:
+        """Reply to an incoming request."""
+        self._effects.append(Reply(request_id, status, body, retry_after_s))
 
-    def reply_error(self, request_id: int, status: int, message: str, retry_after: int | None = None) -> None:
-        """Answer an incoming request with an error status and message."""
-        self.reply(request_id, status, encode(ErrorReply(message)), retry_after)
+    def reply_error(self, request_id: int, status: int, message: str, retry_after_s: int | None = None) -> None:
+        """Reply to an incoming request with an error status and message."""
+        self.reply(request_id, status, encode(ErrorReply(message)), retry_after_s)
 
     def decode_request(self, request: IncomingRequest, type_: type[MessageT]) -> MessageT | None:
         """Decode the body of a request from a peer or a worker.
--- a/src/gladecroft/coordination/core.py
+++ b/src/gladecroft/coordination/core.py
@@ -1,11 +1,11 @@
-"""The core: sole owner of the in-process state, turning time and events into effects."""
+"""The core: holds all state of a controller process, and turns clock readings and events into effects."""
 
 from __future__ import annotations
 
 import logging
 from typing import Any
 
-from gladecroft.bookkeeping.records import MachineUse
+from gladecroft.bookkeeping.records import MachineLifecycle
 from gladecroft.coordination.admission import AdmissionControl
 from gladecroft.coordination.consent import PeerConsent
 from gladecroft.coordination.context import ControllerContext
@@ -71,12 +71,14 @@
             try:
                 self._handle_event(event)
             except Exception:
-                # A bug triggered by one event must not stop the controller: the durable state is in the state service.
+                # A bug triggered by one event must not stop the controller. The durable state is not affected: it is in
+                # the state service.
                 log.exception("unexpected error while handling %s", type(event).__name__)
                 if isinstance(event, IncomingRequest):
                     context.reply_error(event.request_id, 500, "internal fault")
-            # After each event, not at the end of the batch: otherwise a report that follows a new epoch in the same
-            # batch would be handled under the old one, and the ownership of its machine dated too early.
+            # Done after each event, not at the end of the batch. Otherwise a report that follows a new epoch in the
+            # same batch would be handled under the old epoch, and the start of the machine's ownership would be dated
+            # too early.
             self._apply_epoch_change()
         self.membership.tick()
         self._apply_epoch_change()
@@ -88,7 +90,7 @@
         self.autoscaler.tick()
         if self.admission is not None:
             self._tick_admission(self.admission)
-        self.state_writer.exit_tracker.notify_homes()
+        self.state_writer.exit_tracker.notify_home_controllers()
         self.state_writer.flush()
         self.machine_manager.push_commands()
         self.context.log_write_usage()
@@ -99,8 +101,8 @@
         try:
             admission.tick()
         except Exception:
-            # Admission control only sets priorities; no invariant depends on it, so an error here must not stop the
-            # controller.
+            # Admission control only orders and rejects jobs. No safety invariant depends on it, so an error in it must
+            # not stop the controller.
             log.exception("unexpected error in admission control")
 
     def _apply_epoch_change(self) -> None:
@@ -132,21 +134,21 @@
                 self.context.reply(request.request_id, 200, b"{}")
             else:
                 self.context.reply_error(request.request_id, 503, "can't take requests now", 1)
-        elif request.kind is RequestKind.ATTEMPTS_ENDED:
+        elif request.kind is RequestKind.ANNOUNCE_ENDED_ATTEMPTS:
             self.state_writer.exit_tracker.handle_ended(request)
-        elif request.kind is RequestKind.MACHINES_REPORTED:
+        elif request.kind is RequestKind.ANNOUNCE_MACHINES:
             self.machine_manager.handle_announcement(request)
         elif request.kind is RequestKind.QUERY_REPORTING:
             self.machine_manager.misrouted.handle_reporting_query(request)
-        elif request.kind is RequestKind.CONSENT:
+        elif request.kind is RequestKind.REQUEST_CONSENT:
             self.consent.handle_request(request)
         elif request.kind is RequestKind.LIST_CORDONS:
             self.operator_commands.list_cordons(request)
         elif request.kind is RequestKind.CHANGE_CORDON:
             self.operator_commands.change_cordon(request)
-        elif request.kind is RequestKind.ADMISSION:
+        elif request.kind is RequestKind.GET_ADMISSION_STATUS:
             self._show_admission(request)
-        elif request.kind is RequestKind.VIEW:
+        elif request.kind is RequestKind.GET_CONTROLLER_STATUS:
             self.context.reply(request.request_id, 200, encode(self.view()))
         else:
             self.users.handle(request)
@@ -161,18 +163,21 @@
 
     def healthy(self) -> bool:
         """Whether this controller should receive user requests."""
-        # In an outage that affects all controllers, another one would not serve users better. If only this controller
-        # can't use the state service, users are better served by another.
+        # During an outage for all controllers, redirecting users to another controller gains nothing. If only this
+        # controller can't reach the state service, it reports itself unhealthy, so that users are sent to another.
         state_usable = not self.context.state_down() or self.consent.outage_confirmed()
         return self.context.records_loaded and state_usable and bool(self.scheduler.types)
 
     def view(self) -> dict[str, Any]:
-        """A summary of this controller's state for operators; job details are not included."""
+        """A summary of this controller's state for operators, without details of jobs.
+
+        Operators' tools read the keys, so they are fixed. ``part``: the machines that this controller owns.
+        """
         epoch = self.membership.epoch
         machines = [
             name
             for name, record in self.context.cluster_state.machines.items()
-            if record.use is not MachineUse.RETURNED
+            if record.lifecycle is not MachineLifecycle.RETURNED
         ]
         view: dict[str, Any] = {
             "name": self.context.name,
--- a/src/gladecroft/coordination/events.py
+++ b/src/gladecroft/coordination/events.py
@@ -11,41 +11,43 @@
 
 
 class RequestKind(Enum):
-    """What an incoming request asks for."""
+    """What an incoming request asks for. The first three kinds come from users."""
 
     SUBMIT = "submit"
     POLL = "poll"
     CANCEL = "cancel"
     HEALTH = "health"
+    #: A machine reports its attempts; the reply renews its lease.
     REPORT = "report"
-    VIEW = "view"
+    #: An operator asks for a summary of this controller's state.
+    GET_CONTROLLER_STATUS = "view"
     #: An operator lists the cordons.
     LIST_CORDONS = "cordons"
     #: An operator sets or lifts a cordon.
     CHANGE_CORDON = "cordon"
     #: An operator asks for the state of admission control.
-    ADMISSION = "admission"
+    GET_ADMISSION_STATUS = "admission"
     #: A peer announces attempts that are confirmed to have ended.
-    ATTEMPTS_ENDED = "ended"
-    #: A peer announces machines that have reported to it.
-    MACHINES_REPORTED = "heard"
+    ANNOUNCE_ENDED_ATTEMPTS = "announce_ended_attempts"
+    #: A peer announces machines that are up without a record, and machines that were returned to the cloud.
+    ANNOUNCE_MACHINES = "announce_machines"
     #: A peer asks which of the given machines report to this controller.
-    QUERY_REPORTING = "hears"
-    #: A peer asks for consent to keep answering its machines while the state service is down.
-    CONSENT = "consent"
+    QUERY_REPORTING = "query_reporting"
+    #: A peer asks for consent to keep renewing the leases of its machines while the state service is down.
+    REQUEST_CONSENT = "consent"
 
 
 class IncomingRequest(msgspec.Struct):
-    """An incoming request; its reply carries the same id."""
+    """An incoming request; its reply carries the same request id. ``job_id`` is set for requests about one job."""
 
     request_id: int
     kind: RequestKind
     body: bytes = b""
-    job: str = ""
+    job_id: str = ""
 
 
 class CallResult(msgspec.Struct):
-    """The result of an outgoing call. Status 0: the outcome is unknown; -1: the call was certainly not sent."""
+    """The result of an outgoing call. Status 0: the outcome is unknown; -1: the call was definitely not sent."""
 
     call_id: int
     status: int
@@ -53,7 +55,11 @@
 
 
 class WatchResult(msgspec.Struct):
-    """The result of a watch. ``gap``: changes were missed, so all records must be read again."""
+    """The result of a watch.
+
+    ``gap``: changes were missed, so all records must be read again. ``failed``: the watch ended with an error and is
+    opened again at the same revision.
+    """
 
     reply: WatchReply | None = None
     gap: bool = False
@@ -73,16 +79,19 @@
 
 
 class Reply(msgspec.Struct):
-    """Effect: answer an incoming request."""
+    """Effect: reply to an incoming request. ``retry_after_s``: time after which the requester may try again."""
 
     request_id: int
     status: int
     body: bytes = b""
-    retry_after: int | None = None
+    retry_after_s: int | None = None
 
 
 class OutgoingCall(msgspec.Struct):
-    """Effect: send an HTTP request and return its result as an event."""
+    """Effect: send an HTTP request and return its result as a ``CallResult`` event.
+
+    ``addr`` is the address of the worker or peer; it is empty for the state service and the cloud.
+    """
 
     call_id: int
     target: Target
@@ -94,7 +103,7 @@
 
 
 class StartWatch(msgspec.Struct):
-    """Effect: open a watch for changes after this revision. At most one watch is open at a time."""
+    """Effect: open a watch for changes after the revision ``after``. At most one watch is open at a time."""
 
     after: int
 
@@ -110,23 +119,23 @@
 
 
 #: Requests from users, most urgent first.
-USER_REQUEST_PRIORITY = (RequestKind.CANCEL, RequestKind.POLL, RequestKind.SUBMIT)
+USER_REQUEST_ORDER = (RequestKind.CANCEL, RequestKind.POLL, RequestKind.SUBMIT)
 
 
 def user_requests_last(events: list[Event]) -> list[Event]:
     """Sort user requests behind all other events: cancellations, then polls, then submissions.
 
-    During a burst of submissions, reports, renewals and cancellations must not wait behind it. All other events keep
-    their order.
+    A burst of submissions must not delay machine reports, lease renewals and cancellations. All other events keep their
+    order.
     """
     user_requests: dict[RequestKind, list[Event]] = {}
     others: list[Event] = []
     for event in events:
-        if isinstance(event, IncomingRequest) and event.kind in USER_REQUEST_PRIORITY:
+        if isinstance(event, IncomingRequest) and event.kind in USER_REQUEST_ORDER:
             user_requests.setdefault(event.kind, []).append(event)
         else:
             others.append(event)
-    for kind in USER_REQUEST_PRIORITY:
+    for kind in USER_REQUEST_ORDER:
         others += user_requests.get(kind, ())
     return others
 
--- a/src/gladecroft/coordination/fleet/packing.py
+++ b/src/gladecroft/coordination/fleet/packing.py
@@ -1,4 +1,4 @@
-"""Which machines to rent for queued work: bin packing over plain values, without calls to other services."""
+"""Which machines to rent for queued tasks: bin packing over plain values, without calls to other services."""
 
 from __future__ import annotations
 
@@ -7,63 +7,64 @@
 
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import CapacityPool
-from gladecroft.policies.interface import CapacityDemand
+from gladecroft.policies.interface import CapacityReservation
 from gladecroft.protocol.wire import JobSpec, MachineType
 
-#: A capacity pool is expensive for a job if its price per usable core exceeds that of the cheapest one by this factor.
+#: A capacity pool is expensive for a job if its price per usable core exceeds that of the cheapest pool by this factor.
 EXPENSIVE_PRICE_RATIO = 1.6
-#: Machines rented in one round for a policy's demand, which may be wrong by orders of magnitude.
-MAX_RENTALS_PER_DEMAND = 100
+#: Upper bound on the machines that are rented in one round for a policy's capacity reservation, which may be wrong by
+#: orders of magnitude.
+MAX_RENTALS_PER_RESERVATION = 100
 
 
 class Bin:
-    """Free capacity of a machine; ``machine`` is empty for one that is not up yet."""
+    """Free capacity of a machine; ``machine_id`` is empty for a machine that is not up yet."""
 
-    __slots__ = ("pool", "cpus", "gpus", "memory", "machine", "has_high_priority", "used")
+    __slots__ = ("pool", "cpus", "gpus", "memory_gb", "machine_id", "has_high_priority", "used")
 
     def __init__(
         self,
         pool: CapacityPool,
         cpus: float,
         gpus: float,
-        memory: float,
-        machine: str = "",
+        memory_gb: float,
+        machine_id: str = "",
         has_high_priority: bool = False,
     ) -> None:
-        self.pool, self.cpus, self.gpus, self.memory = pool, cpus, gpus, memory
-        self.machine = machine
-        #: Whether high-priority work runs on the machine.
+        self.pool, self.cpus, self.gpus, self.memory_gb = pool, cpus, gpus, memory_gb
+        self.machine_id = machine_id
+        #: Whether high-priority tasks run on the machine.
         self.has_high_priority = has_high_priority
         #: Whether the plan has placed or reserved anything in the bin.
         self.used = False
 
     def capacity_for(self, job: Job) -> int:
-        """How many tasks of the job fit."""
+        """Return how many tasks of the job fit."""
         count = job.spec.tasks
         for requested, available in (
             (job.spec.cpus, self.cpus),
             (job.spec.gpus, self.gpus),
-            (job.spec.memory_gb, self.memory),
+            (job.spec.memory_gb, self.memory_gb),
         ):
             if requested > 0:
                 count = min(count, int((available + 1e-6) / requested))
         return max(0, count)
 
     def place(self, job: Job, count: int) -> None:
-        """Subtract the resources of so many tasks of the job."""
+        """Subtract the resources of ``count`` tasks of the job."""
         self.used = True
         self.cpus -= job.spec.cpus * count
         self.gpus -= job.spec.gpus * count
-        self.memory -= job.spec.memory_gb * count
+        self.memory_gb -= job.spec.memory_gb * count
 
 
 def empty_bin(pool: CapacityPool, machine_type: MachineType) -> Bin:
-    """A bin with the full capacity of a machine of this type."""
+    """Return a bin with the full capacity of a machine of this type."""
     return Bin(pool, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
 
 
 class BinIndex:
-    """The bins with at least ``min_cpus`` free cores, by capacity pool; bins are dropped as they fill up."""
+    """The bins with at least ``min_cpus`` free cores, by capacity pool. Bins are dropped as they fill up."""
 
     def __init__(self, bins: list[Bin], min_cpus: float) -> None:
         self.min_cpus = min_cpus
@@ -82,7 +83,11 @@
 
 
 def price_per_usable_core(machine_type: MachineType, spot: bool, spec: JobSpec) -> float:
-    """The price per core that such tasks can use; capacity that they leave unusable on the machine is paid for too."""
+    """Return the price of a machine per core that tasks of this spec can use.
+
+    If the tasks cannot use all cores of the machine, for instance because they exhaust its memory, the price per usable
+    core is higher than the price per core.
+    """
     count = min(
         (
             int((available + 1e-6) / requested)
@@ -99,32 +104,33 @@
 
 @dataclass
 class PackingConstraints:
-    """What a plan must respect."""
+    """The constraints that a rental plan must satisfy."""
 
     machine_types: Mapping[str, MachineType]
     allowed: Callable[[JobSpec, str, str, bool], bool]
-    #: The number of a job's tasks in each zone, and the largest number that one zone may have.
+    #: Returns the number of a job's tasks in each zone, and the largest number that any zone may have.
     zone_usage: Callable[[Job], tuple[dict[str, int], int]]
-    #: How many more cores a team's limit allows its tasks to use.
+    #: Returns how many more cores a team's limit allows its tasks to use.
     remaining_limit: Callable[[str], float]
-    #: Capacity pools that have run out for now, and the largest number of machines to request from others.
+    #: Capacity pools that are unavailable now, and the largest number of machines to rent in this round from those that
+    #: ran out recently.
     unavailable: Collection[CapacityPool] = ()
     rental_caps: Mapping[CapacityPool, int] = field(default_factory=dict)
-    #: Whether policies allow the job on a machine (empty name: one to be rented); None: there are no policies.
+    #: Returns whether policies allow the job on a machine (empty id: one to be rented); None: there are no policies.
     policy_allows: Callable[[Job, str, CapacityPool], bool] | None = None
 
 
 @dataclass
 class RentalPlan:
-    """The plan of one round, built up job by job.
+    """The machines to rent in one round, determined job by job.
 
     ``expensive_cpus``: cores that may still be rented from expensive capacity pools. ``low_priority_headroom``: cores
-    that low-priority work outside a guarantee may use on machines with high-priority work. ``machines_per_zone``
-    includes pending machines and those that the plan rents.
+    that low-priority tasks outside their team's guarantee may use on machines with high-priority tasks.
+    ``machines_per_zone`` includes pending machines and the machines to rent.
     """
 
     constraints: PackingConstraints
-    bin_pool: BinIndex
+    bin_index: BinIndex
     expensive_cpus: float
     low_priority_headroom: float
     machines_per_zone: dict[str, int]
@@ -133,11 +139,11 @@
     remaining_limits: dict[str, float] = field(default_factory=dict)
 
     def place(self, job: Job, uses_reserve: bool, max_starts: int | None = None) -> bool:
-        """Place a job's queued tasks, renting machines from the cheapest capacity pools where bins lack capacity.
+        """Tentatively place a job's queued tasks; if the bins lack capacity, rent from the cheapest capacity pools.
 
-        ``uses_reserve``: the work has high priority or is within a guarantee, so the reserve is open to it.
-        ``max_starts``: the largest number of tasks that may start now. True if the limits allow at least one task and
-        all tasks that they allow have been placed.
+        ``uses_reserve``: the job has high priority or is within its team's guarantee, so its tasks may use the reserve.
+        ``max_starts``: the largest number of tasks that may start now. Returns whether the limits allow at least one
+        task and all tasks that they allow have been placed.
         """
         spec = job.spec
         remaining = self.remaining_limits.get(spec.team)
@@ -152,7 +158,7 @@
         return unplaced <= 0 < to_place
 
     def _place(self, job: Job, unplaced: int, uses_reserve: bool) -> int:
-        """Place tasks in existing bins and on machines to rent; return how many are left unplaced."""
+        """Place tasks in existing bins and on machines to rent; return how many tasks are left unplaced."""
         if unplaced <= 0:
             return 0
         spec = job.spec
@@ -168,7 +174,7 @@
             if count <= 0:
                 break
             bin.place(job, count)
-            self.bin_pool.add(bin)
+            self.bin_index.add(bin)
             self.machines_per_zone[pool[1]] = self.machines_per_zone.get(pool[1], 0) + 1
             self.to_rent[pool] = self.to_rent.get(pool, 0) + 1
             zones[pool[1]] = zones.get(pool[1], 0) + count
@@ -178,37 +184,37 @@
     def _place_on_existing(
         self, job: Job, unplaced: int, zones: dict[str, int], zone_cap: int, only_zone: str | None, uses_reserve: bool
     ) -> int:
-        """Place tasks on machines that are up, pending or already planned; return how many are left unplaced."""
+        """Place tasks on machines that are up, pending or already to be rented; return how many are left unplaced."""
         spec = job.spec
-        cpus, gpus, memory = spec.cpus, spec.gpus, spec.memory_gb
-        for pool, bins in self.bin_pool.by_pool.items():
+        cpus, gpus, memory_gb = spec.cpus, spec.gpus, spec.memory_gb
+        for pool, bins in self.bin_index.by_pool.items():
             if only_zone is not None and pool[1] != only_zone:
                 continue
             if not self.constraints.allowed(spec, *pool):
                 continue
             has_full_bins = False
             for bin in bins:
-                # Most bins can't hold a single task; checking that here saves the calls below.
-                if bin.cpus + 1e-6 < cpus > 0 or bin.memory + 1e-6 < memory > 0 or bin.gpus + 1e-6 < gpus > 0:
+                # Most bins are too small for a single task; this check saves the calls below.
+                if bin.cpus + 1e-6 < cpus > 0 or bin.memory_gb + 1e-6 < memory_gb > 0 or bin.gpus + 1e-6 < gpus > 0:
                     continue
                 if self.constraints.policy_allows is not None and not self.constraints.policy_allows(
-                    job, bin.machine, pool
+                    job, bin.machine_id, pool
                 ):
                     continue
                 count = min(unplaced, bin.capacity_for(job), zone_cap - zones.get(pool[1], 0))
                 if bin.has_high_priority and not uses_reserve and spec.cpus > 0:
-                    # The scheduler keeps a reserve on these machines, so the plan must not use it either.
+                    # The scheduler keeps a reserve on these machines, which the plan must not use either.
                     count = min(count, int(max(0.0, self.low_priority_headroom) / spec.cpus))
                     self.low_priority_headroom -= max(0, count) * spec.cpus
                 if count > 0:
                     bin.place(job, count)
-                    has_full_bins |= bin.cpus + 1e-6 < self.bin_pool.min_cpus
+                    has_full_bins |= bin.cpus + 1e-6 < self.bin_index.min_cpus
                     zones[pool[1]] = zones.get(pool[1], 0) + count
                     unplaced -= count
                     if unplaced <= 0:
                         break
             if has_full_bins:
-                self.bin_pool.drop_full(pool)
+                self.bin_index.drop_full(pool)
             if unplaced <= 0:
                 break
         return unplaced
@@ -216,9 +222,10 @@
     def _cheapest_pool(
         self, job: Job, zones: dict[str, int], zone_cap: int, only_zone: str | None
     ) -> CapacityPool | None:
-        """The capacity pool with the lowest price per usable core from which to rent for the job now, if there is one.
+        """Return the capacity pool with the lowest price per usable core from which to rent a machine for the job now.
 
-        Among equal prices the zone with the fewest machines is chosen.
+        Among pools of equal price, the one in the zone with the fewest machines is chosen. Returns None if there is no
+        suitable pool.
         """
         spec, constraints = job.spec, self.constraints
         pools = [
@@ -261,20 +268,20 @@
         return machine_type.name, zone, spot
 
     def reserve(
-        self, demand: CapacityDemand, bins: Iterable[Bin], is_closed: Callable[[str, CapacityPool], bool]
+        self, reservation: CapacityReservation, bins: Iterable[Bin], is_closed: Callable[[str, CapacityPool], bool]
     ) -> None:
-        """Reserve free bins for a policy's demand, and rent what is missing, the cheapest cores first.
+        """Use free bins for a policy's capacity reservation, and rent the missing cores, the cheapest first.
 
-        Machines that ``is_closed`` names take no new tasks, so they don't count.
+        Machines for which ``is_closed`` returns True take no new tasks, so they do not count.
         """
-        missing = demand.cpus
-        rentals_left = MAX_RENTALS_PER_DEMAND
+        missing_cpus = reservation.cpus
+        remaining_rentals = MAX_RENTALS_PER_RESERVATION
 
         for bin in bins:
-            if missing <= 1e-6:
+            if missing_cpus <= 1e-6:
                 return
-            if bin.cpus > 1e-6 and demand.matches(*bin.pool[:2]) and not is_closed(bin.machine, bin.pool):
-                missing -= bin.cpus
+            if bin.cpus > 1e-6 and reservation.matches(*bin.pool[:2]) and not is_closed(bin.machine_id, bin.pool):
+                missing_cpus -= bin.cpus
                 bin.used = True
         prices: list[tuple[float, int, str, CapacityPool]] = []
         for machine_type in self.constraints.machine_types.values():
@@ -282,7 +289,7 @@
                 for spot in (True, False):
                     pool = (machine_type.name, zone, spot)
                     if (
-                        demand.matches(machine_type.name, zone)
+                        reservation.matches(machine_type.name, zone)
                         and pool not in self.constraints.unavailable
                         and not is_closed("", pool)
                     ):
@@ -291,9 +298,11 @@
         for _, _, _, pool in sorted(prices):
             max_rentals = self.constraints.rental_caps.get(pool)
             while (
-                rentals_left > 0 and missing > 1e-6 and (max_rentals is None or self.to_rent.get(pool, 0) < max_rentals)
+                remaining_rentals > 0
+                and missing_cpus > 1e-6
+                and (max_rentals is None or self.to_rent.get(pool, 0) < max_rentals)
             ):
-                rentals_left -= 1
+                remaining_rentals -= 1
                 self.to_rent[pool] = self.to_rent.get(pool, 0) + 1
                 self.machines_per_zone[pool[1]] = self.machines_per_zone.get(pool[1], 0) + 1
-                missing -= max(self.constraints.machine_types[pool[0]].cpus, 1e-9)
+                missing_cpus -= max(self.constraints.machine_types[pool[0]].cpus, 1e-9)
--- a/src/gladecroft/coordination/fleet/reconciler.py
+++ b/src/gladecroft/coordination/fleet/reconciler.py
@@ -1,4 +1,8 @@
-"""Reconciles the cloud's list with the machine records: failed boots, silent, lost and empty machines."""
+"""Reconciles the cloud's list of machines with the machine records.
+
+Handles machines that fail to boot, are silent (no report arrives), are missing from the list, or are drained. Such
+machines are returned to the cloud.
+"""
 
 from __future__ import annotations
 
@@ -7,20 +11,21 @@
 
 import msgspec
 
-from gladecroft.bookkeeping.records import MachineRecord, MachineUse, machine_key
+from gladecroft.bookkeeping.records import MachineLifecycle, MachineRecord, machine_key
 from gladecroft.coordination.context import ControllerContext
 from gladecroft.coordination.fleet.cloud_client import CloudClient, PendingMachine
 from gladecroft.coordination.machines import MachineManager
 from gladecroft.coordination.membership import Membership
 from gladecroft.coordination.state_writer import StateWriter
-from gladecroft.protocol.wire import MachineState
+from gladecroft.protocol.wire import ListedMachineState
 
 log = logging.getLogger(__name__)
 
-#: Records of returned machines are kept longer than a message can be delayed, which may be minutes.
+#: Records of machines that were returned to the cloud are kept longer than a message can be delayed, which may be
+#: minutes.
 TOMBSTONE_RETENTION = timedelta(minutes=10)
 #: How long a returned machine without a record is remembered.
-RETURNED_MEMORY = timedelta(seconds=120)
+RETURNED_RETENTION = timedelta(seconds=120)
 
 
 class MachineReconciler:
@@ -46,168 +51,191 @@
         self._unaccounted_since: dict[str, timedelta] = {}
 
     def reset(self) -> None:
-        """Drop the leader's state."""
+        """Discard the leader's state."""
         self._known_since.clear()
         self._silent_since.clear()
         self._unaccounted_since.clear()
 
     def reconcile(self) -> None:
-        """Compare list and records, return the machines that are lost or no longer needed, and update the records."""
+        """Compare list and records, return the machines that are lost or no longer usable, and update the records."""
         now, cloud_client = self.context.now, self.cloud_client
         cloud_client.returned = {
-            name: returned_at
-            for name, returned_at in cloud_client.returned.items()
-            if name in self.cluster_state.machines or now - returned_at < RETURNED_MEMORY
+            machine_id: returned_at
+            for machine_id, returned_at in cloud_client.returned.items()
+            if machine_id in self.cluster_state.machines or now - returned_at < RETURNED_RETENTION
         }
         to_return = self._failed_boots()
         self._drop_reported()
-        self._known_since = {name: self._known_since.get(name, now) for name in self.cluster_state.machines}
+        self._known_since = {
+            machine_id: self._known_since.get(machine_id, now) for machine_id in self.cluster_state.machines
+        }
         self._silent_since = {
-            name: since
-            for name, since in self._silent_since.items()
-            if name in self.cluster_state.machines and self.cluster_state.machines[name].use is MachineUse.SILENT
+            machine_id: since
+            for machine_id, since in self._silent_since.items()
+            if machine_id in self.cluster_state.machines
+            and self.cluster_state.machines[machine_id].lifecycle is MachineLifecycle.SILENT
         }
-        for name, record in self.cluster_state.reported_machines.items():
-            # Recorded as reporting, but no longer in the list: some controller has announced it, but its present owner
-            # gets no reports from it, or would have marked it silent itself.
-            if name not in cloud_client.listed and now - self._known_since[name] > 2 * cloud_client.list_age():
-                self.state_writer.put_machine(name, msgspec.structs.replace(record, use=MachineUse.SILENT))
+        for machine_id, record in self.cluster_state.reported_machines.items():
+            # Some controller has announced the machine, but it is no longer in the list. Its owner (the controller to
+            # which it should report) has received no report from it, or would have marked it silent itself.
+            if (
+                machine_id not in cloud_client.listed
+                and now - self._known_since[machine_id] > 2 * cloud_client.max_list_delay()
+            ):
+                self.state_writer.put_machine(
+                    machine_id, msgspec.structs.replace(record, lifecycle=MachineLifecycle.SILENT)
+                )
         to_return += self._unaccounted()
         to_return += self._ready_to_return()
         cloud_client.return_machines(to_return)
         self._delete_tombstones()
 
     def _failed_boots(self) -> list[str]:
-        """Machines that failed to boot or take much too long; newly listed ones are added to the pending machines."""
+        """Return the machines that failed to boot or take much too long; add newly listed machines to ``pending``."""
         now, cloud_client = self.context.now, self.cloud_client
         to_return: list[str] = []
-        for name, machine in cloud_client.listed.items():
-            if name in cloud_client.returned:
+        for machine_id, machine in cloud_client.listed.items():
+            if machine_id in cloud_client.returned:
                 continue
             machine_type = cloud_client.candidate_cache.machine_types.get(machine.type)
             boot_time = timedelta(seconds=machine_type.boot_s if machine_type else 60.0)
-            if machine.state is MachineState.FAILED:
-                to_return.append(name)
-            elif name not in self.cluster_state.machines:
-                if name not in cloud_client.pending:
+            if machine.state is ListedMachineState.FAILED:
+                to_return.append(machine_id)
+            elif machine_id not in self.cluster_state.machines:
+                if machine_id not in cloud_client.pending:
                     age = timedelta(seconds=machine.age_s)
-                    cloud_client.pending[name] = PendingMachine((machine.type, machine.zone, machine.spot), now - age)
-                if name in self.cluster_state.tasks_by_machine:
-                    # It has work, but no controller has announced it since this one started. Announcing it gives it an
-                    # owner, which finds out whether it is still alive.
+                    cloud_client.pending[machine_id] = PendingMachine(
+                        (machine.type, machine.zone, machine.spot), now - age
+                    )
+                if machine_id in self.cluster_state.tasks_by_machine:
+                    # The records place tasks on the machine, but no controller has announced it since this one started.
+                    # Announcing it gives it an owner, which detects whether it is still alive.
                     if machine.addr:
                         record = MachineRecord(machine.type, machine.zone, machine.spot, machine.addr)
-                        self.machine_manager.announcer.announce_cloud_machine(name, record)
+                        self.machine_manager.announcer.announce_cloud_machine(machine_id, record)
                     continue
                 if not self.membership.active_for(self.context.machine_lease):
                     continue  # the other controllers have not had time to announce it
-                if now - cloud_client.pending[name].rented_at > 3.5 * boot_time + timedelta(seconds=10):
-                    log.info("%s has not booted in time: returning it", name)
-                    to_return.append(name)
+                if now - cloud_client.pending[machine_id].rented_at > 3.5 * boot_time + timedelta(seconds=10):
+                    log.info("machine %s has not booted in time: returning it to the cloud", machine_id)
+                    to_return.append(machine_id)
         return to_return
 
     def _drop_reported(self) -> None:
-        """Drop pending machines that have reported, or that are missing from the list for too long."""
+        """Drop pending machines that have reported, or that have been missing from the list for too long."""
         cloud_client = self.cloud_client
-        for name in list(cloud_client.pending):
+        for machine_id in list(cloud_client.pending):
             if (
-                name in self.cluster_state.machines
-                or name not in cloud_client.listed
-                and self.context.now - cloud_client.pending[name].rented_at
+                machine_id in self.cluster_state.machines
+                or machine_id not in cloud_client.listed
+                and self.context.now - cloud_client.pending[machine_id].rented_at
                 > timedelta(seconds=30 + 4 * self.context.cluster.cloud.list_lag_s)
             ):
-                del cloud_client.pending[name]
+                del cloud_client.pending[machine_id]
 
     def _unaccounted(self) -> list[str]:
-        """Machines with recorded work that have been missing from both the machine records and the list for long.
+        """Return the machines with recorded tasks that have long been missing from the machine records and the list.
 
-        They have no owner. Returning them proves that their work has ended.
+        They have no owner. When the cloud confirms their return, their tasks are known to have ended.
         """
-        unaccounted = [name for name in self.cluster_state.tasks_by_machine if name not in self.cluster_state.machines]
-        self._unaccounted_since = {name: self._unaccounted_since.get(name, self.context.now) for name in unaccounted}
-        timeout = max(2 * self.cloud_client.list_age(), self.context.machine_lease)
+        unaccounted = [
+            machine_id
+            for machine_id in self.cluster_state.tasks_by_machine
+            if machine_id not in self.cluster_state.machines
+        ]
+        self._unaccounted_since = {
+            machine_id: self._unaccounted_since.get(machine_id, self.context.now) for machine_id in unaccounted
+        }
+        timeout = max(2 * self.cloud_client.max_list_delay(), self.context.machine_lease)
         return [
-            name
-            for name, since in self._unaccounted_since.items()
-            if name not in self.cloud_client.listed and self.context.now - since > timeout
+            machine_id
+            for machine_id, since in self._unaccounted_since.items()
+            if machine_id not in self.cloud_client.listed and self.context.now - since > timeout
         ]
 
     def _ready_to_return(self) -> list[str]:
-        """Machines that can be returned: drained, presumed dead, or already marked to be returned."""
+        """Return the machines that can be returned to the cloud: drained, presumed dead, or marked to be returned."""
         to_return: list[str] = []
         silent_counts = self._silent_counts()
-        for name in list(self.cluster_state.restricted_machines):
-            record = self.cluster_state.machines[name]
+        for machine_id in list(self.cluster_state.restricted_machines):
+            record = self.cluster_state.machines[machine_id]
             drained = (
-                record.use in (MachineUse.FAULTY, MachineUse.RECLAIMING, MachineUse.DRAINING)
-                and name not in self.cluster_state.tasks_by_machine
+                record.lifecycle in (MachineLifecycle.FAULTY, MachineLifecycle.RECLAIMING, MachineLifecycle.DRAINING)
+                and machine_id not in self.cluster_state.tasks_by_machine
             )
-            if drained or (record.use is MachineUse.SILENT and self._presumed_dead(name, silent_counts)):
-                to_return.append(name)
-            elif record.use is MachineUse.RETURNING and name not in self.cloud_client.returned:
-                # A controller may have placed a task on it just before its record changed; then it is kept.
-                if self.cluster_state.tasks_on(name):
-                    self.state_writer.put_machine(name, msgspec.structs.replace(record, use=MachineUse.UP))
+            if drained or (
+                record.lifecycle is MachineLifecycle.SILENT and self._presumed_dead(machine_id, silent_counts)
+            ):
+                to_return.append(machine_id)
+            elif record.lifecycle is MachineLifecycle.RETURNING and machine_id not in self.cloud_client.returned:
+                # If a controller has placed a task on the machine just before its record changed, the machine is kept.
+                if self.cluster_state.tasks_on(machine_id):
+                    self.state_writer.put_machine(
+                        machine_id, msgspec.structs.replace(record, lifecycle=MachineLifecycle.UP)
+                    )
                 elif (
-                    name not in self.cluster_state.tasks_by_machine
-                    and self.cluster_state.version(machine_key(name)) <= self.cluster_state.revision
+                    machine_id not in self.cluster_state.tasks_by_machine
+                    and self.cluster_state.version(machine_key(machine_id)) <= self.cluster_state.revision
                 ):
-                    to_return.append(name)
+                    to_return.append(machine_id)
         return to_return
 
     def _silent_counts(self) -> dict[str, tuple[int, int]]:
-        """For each owner, how many of its machines are silent and how many it has; empty if no machine is silent."""
+        """Return, by owner, the numbers of its silent machines and of all its machines; empty if none is silent."""
         counts: dict[str, tuple[int, int]] = {}
-        if MachineUse.SILENT not in self.cluster_state.restricted_machines.values():
+        if MachineLifecycle.SILENT not in self.cluster_state.restricted_machines.values():
             return counts
-        for name, record in self.cluster_state.machines.items():
-            if record.use in (MachineUse.UP, MachineUse.SILENT):
-                owner = self.membership.owner(name) or ""
+        for machine_id, record in self.cluster_state.machines.items():
+            if record.lifecycle in (MachineLifecycle.UP, MachineLifecycle.SILENT):
+                owner = self.membership.owner(machine_id) or ""
                 silent, total = counts.get(owner, (0, 0))
-                counts[owner] = (silent + (record.use is MachineUse.SILENT), total + 1)
+                counts[owner] = (silent + (record.lifecycle is MachineLifecycle.SILENT), total + 1)
         return counts
 
-    def _presumed_dead(self, name: str, silent_counts: dict[str, tuple[int, int]]) -> bool:
-        """Whether to return a silent machine. The cloud's answer proves that its tasks have ended, which silence alone
-        proves only much later.
+    def _presumed_dead(self, machine_id: str, silent_counts: dict[str, tuple[int, int]]) -> bool:
+        """Return whether a silent machine is presumed dead and should be returned to the cloud.
 
-        A machine that the cloud has taken back is missing from the list. Others are presumed dead after a short while,
-        but only after a whole lease if more than a third of the owner's machines are silent, since then the fault is
-        more likely in the owner's network.
+        The cloud's confirmation proves that its tasks have ended, which silence alone proves only much later. A machine
+        that the cloud has reclaimed is missing from the list. Other machines are presumed dead a little after the
+        report interval, but only after a whole lease if more than a third of the owner's machines are silent, since
+        the fault is then more likely in the owner's network.
         """
         now = self.context.now
-        since = self._silent_since.setdefault(name, now)
-        if name not in self.cloud_client.listed and now - self._known_since[name] > self.cloud_client.list_age():
+        since = self._silent_since.setdefault(machine_id, now)
+        if (
+            machine_id not in self.cloud_client.listed
+            and now - self._known_since[machine_id] > self.cloud_client.max_list_delay()
+        ):
             return True
-        silent, total = silent_counts.get(self.membership.owner(name) or "", (0, 0))
+        silent, total = silent_counts.get(self.membership.owner(machine_id) or "", (0, 0))
         if silent * 3 <= total:
             return now - since > self.context.report_interval * 4 / 3
         return now - since > self.context.machine_lease
 
     def _delete_tombstones(self) -> None:
-        """Delete the records of returned machines once no delayed message can re-create them."""
+        """Delete the records of returned machines once no delayed message can recreate them."""
         now = self.context.now
         tombstones = [
-            name
-            for name, use in self.cluster_state.restricted_machines.items()
-            if use is MachineUse.RETURNED or name in self.cloud_client.returned
+            machine_id
+            for machine_id, lifecycle in self.cluster_state.restricted_machines.items()
+            if lifecycle is MachineLifecycle.RETURNED or machine_id in self.cloud_client.returned
         ]
-        self._tombstone_since = {name: self._tombstone_since.get(name, now) for name in tombstones}
-        for name, since in self._tombstone_since.items():
-            if now - since > TOMBSTONE_RETENTION and name not in self.cluster_state.tasks_by_machine:
-                self.state_writer.put_machine(name, None)
+        self._tombstone_since = {machine_id: self._tombstone_since.get(machine_id, now) for machine_id in tombstones}
+        for machine_id, since in self._tombstone_since.items():
+            if now - since > TOMBSTONE_RETENTION and machine_id not in self.cluster_state.tasks_by_machine:
+                self.state_writer.put_machine(machine_id, None)
 
     def reports_outstanding(self) -> bool:
-        """Whether machines are running that other controllers have not had time to announce since this one leads.
+        """Return whether machines are running that other controllers have not had time to announce to this leader.
 
-        Without this check a leader that had been restarted together with all other controllers rented hundreds of
-        machines for work that was already running.
+        Without this check, a leader that was restarted together with all other controllers rented hundreds of machines
+        for tasks that were already running.
         """
         if self.membership.active_for(2.5 * self.context.report_interval):
             return False
         return any(
-            machine.state is MachineState.RUNNING
-            and name not in self.cluster_state.machines
-            and name not in self.cloud_client.returned
-            for name, machine in self.cloud_client.listed.items()
+            machine.state is ListedMachineState.RUNNING
+            and machine_id not in self.cluster_state.machines
+            and machine_id not in self.cloud_client.returned
+            for machine_id, machine in self.cloud_client.listed.items()
         )
--- a/src/gladecroft/coordination/fleet/sizing.py
+++ b/src/gladecroft/coordination/fleet/sizing.py
@@ -1,4 +1,4 @@
-"""Fleet size: which idle or little-used machines to give up, and how many expensive cores may be rented."""
+"""Fleet size: which idle or underused machines to return to the cloud, and how many expensive cores may be rented."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 from gladecroft.coordination.fleet.packing import Bin
 from gladecroft.protocol.wire import JobKind, JobSpec
 
-#: So many idle machines plus this fraction of the fleet are kept for the idle time that the operators set; any above
-#: that number are kept only for the minimum idle time.
+#: This number of idle machines plus this fraction of the fleet are kept for the idle time that the operators set. Idle
+#: machines beyond this number are kept only for ``MIN_IDLE_TIME``.
 SPARE_IDLE_MACHINES = 5
 SPARE_IDLE_FRACTION = 0.02
 MIN_IDLE_TIME = timedelta(seconds=4)
 
 
 class IdleMachine(msgspec.Struct, frozen=True):
-    """An empty machine, its price per hour, how long it has been idle, and the cores that new tasks may use there."""
+    """An empty machine, its price per hour, how long it has been idle, and the cores that new tasks may use on it."""
 
-    price: float
-    name: str
+    hourly_price: float
+    machine_id: str
     idle_for: timedelta
-    cpus: float
+    usable_cpus: float
 
 
 def select_idle_to_return(
     idle: Iterable[IdleMachine], machine_count: int, free_cpus: float, reserve_cpus: float, min_idle: timedelta
 ) -> list[str]:
-    """The idle machines to return, the most expensive first, such that the reserve stays free.
+    """Return the ids of the idle machines to return to the cloud, the most expensive first, keeping the reserve free.
 
-    ``free_cpus`` and ``reserve_cpus`` are totals of the fleet. A few idle machines are kept for a while because they
-    may soon be needed again. If there are many, the excess is returned almost at once: the needs of a large fleet vary
-    less, in proportion, than those of a small one.
+    ``free_cpus`` and ``reserve_cpus`` are totals of the fleet. A few idle machines are kept for ``min_idle`` because
+    they may soon be needed again. Excess machines are returned after ``MIN_IDLE_TIME``: the load of a large fleet
+    varies less, in proportion, than that of a small fleet.
     """
-    candidates = sorted(idle, key=lambda machine: (-machine.price, machine.name))
+    candidates = sorted(idle, key=lambda machine: (-machine.hourly_price, machine.machine_id))
     spare_machines = SPARE_IDLE_MACHINES + int(SPARE_IDLE_FRACTION * machine_count)
     idle_count = len(candidates)
     has_excess = idle_count > spare_machines
@@ -45,12 +45,12 @@
     for machine in candidates:
         if machine.idle_for < min_idle and not (has_excess and machine.idle_for >= MIN_IDLE_TIME):
             continue
-        if free_cpus - machine.cpus < reserve_cpus:
+        if free_cpus - machine.usable_cpus < reserve_cpus:
             continue
-        free_cpus -= machine.cpus
+        free_cpus -= machine.usable_cpus
         idle_count -= 1
         has_excess = idle_count > spare_machines
-        chosen.append(machine.name)
+        chosen.append(machine.machine_id)
     return chosen
 
 
@@ -62,9 +62,10 @@
     allowed: Callable[[JobSpec, str, str, bool], bool],
     zone_usage: Callable[[Job], tuple[dict[str, int], int]],
 ) -> bool:
-    """Whether a machine's work fits into the bins of the other machines and leaves the reserve for new work free.
+    """Return whether a machine's tasks fit into the bins of other machines and leave the reserve for new tasks free.
 
-    Places the machine's services in the bins.
+    ``placed_jobs`` has the job of each task on the machine, ``zone`` is the machine's zone. The services among these
+    tasks are placed in the bins, which are modified.
     """
     services = [job for job in placed_jobs if job.spec.kind is JobKind.SERVICE]
     moved_cpus = sum(job.spec.cpus for job in placed_jobs)
@@ -85,7 +86,7 @@
 
 
 def expensive_cpu_budget(
-    work: Mapping[JobGroup, SpotWork],
+    spot_work: Mapping[JobGroup, SpotWork],
     bins: Iterable[Bin],
     cpus_by_type: Mapping[str, float],
     service_cpus: Callable[[str], float],
@@ -93,25 +94,25 @@
     target_wait: Callable[[str], float],
     wait_fraction: float,
 ) -> float:
-    """How many cores may be rented on expensive machines for work that cheap ones could do.
+    """Return how many cores may be rented on expensive machines for tasks that could also run on cheap machines.
 
-    These are the cores that are missing to complete the present work within the time that the objectives allow, not
-    those needed to start all of it at once: by the time that a machine is up, much of the running work has ended.
-    ``remaining_limit``: how many more cores a team's limit allows. ``wait_fraction``: the fraction of a class's
-    ``target_wait`` within which its queued work should complete.
+    These are the cores that are missing to complete the current tasks within the time that the objectives allow, not
+    those needed to start all of them immediately: by the time a rented machine is up, many running tasks have ended.
+    ``remaining_limit`` returns how many more cores a team's limit allows. ``wait_fraction`` is the fraction of the
+    ``target_wait`` of a class within which its queued tasks should complete.
     """
     queued_by_team: dict[str, float] = {}
-    for (team, _), group_work in work.items():
+    for (team, _), group_work in spot_work.items():
         queued_by_team[team] = queued_by_team.get(team, 0.0) + group_work.queued_cpus
-    needed = 0.0
-    for (team, job_class), group_work in work.items():
+    needed_cpus = 0.0
+    for (team, job_class), group_work in spot_work.items():
         runnable_fraction = (
             min(1.0, max(0.0, remaining_limit(team)) / queued_by_team[team]) if queued_by_team[team] > 0 else 1.0
         )
-        needed += (group_work.queued_cpu_s * runnable_fraction + group_work.running_cpu_s / 2) / (
+        needed_cpus += (group_work.queued_cpu_s * runnable_fraction + group_work.running_cpu_s / 2) / (
             wait_fraction * target_wait(job_class)
         )
     available_cpus = 0.0
     for bin in bins:
-        available_cpus += cpus_by_type[bin.pool[0]] - (service_cpus(bin.machine) if bin.machine else 0.0)
-    return needed - available_cpus
+        available_cpus += cpus_by_type[bin.pool[0]] - (service_cpus(bin.machine_id) if bin.machine_id else 0.0)
+    return needed_cpus - available_cpus
--- a/src/gladecroft/coordination/machines/__init__.py
+++ b/src/gladecroft/coordination/machines/__init__.py
@@ -1,4 +1,4 @@
-"""Manages the machines that a controller owns: reports, commands, detection of ended tasks, announcements to peers."""
+"""Manages the machines that a controller owns: reports, commands, exit detection, announcements to peers."""
 
 from gladecroft.coordination.machines.manager import MachineManager
 
--- a/src/gladecroft/coordination/machines/announcer.py
+++ b/src/gladecroft/coordination/machines/announcer.py
@@ -1,110 +1,124 @@
-"""Announces machines that are up but have no record, and machines that were returned, to the other controllers."""
+"""Announces machines to the other controllers: those that are up without a committed record, and returned ones.
+
+A returned machine is one that was given back to the cloud.
+"""
 
 from __future__ import annotations
 
 from datetime import timedelta
 
-from gladecroft.bookkeeping.records import MachineRecord, MachineUse
+from gladecroft.bookkeeping.records import MachineLifecycle, MachineRecord
 from gladecroft.coordination.context import ControllerContext
 from gladecroft.coordination.machines.machine import Machine
 from gladecroft.coordination.membership import Membership
-from gladecroft.coordination.state_writer import NOTIFY_INTERVAL, StateWriter
+from gladecroft.coordination.state_writer import PEER_MESSAGE_INTERVAL, StateWriter
 from gladecroft.protocol import peers, wire
 from gladecroft.protocol.wire import Report
 
-#: A machine that a peer has not acknowledged for this long is announced through the outbox record instead.
+#: A machine that a peer has not acknowledged for this long is also announced through the outbox record, which the
+#: peers receive from the state service.
 OUTBOX_FALLBACK_AFTER = timedelta(seconds=3)
 
 
 class MachineAnnouncer:
-    """Announces machines without a record to each peer until the peer acknowledges them."""
+    """Announces machines without a committed record to each peer until the peer acknowledges them."""
 
     def __init__(self, context: ControllerContext, membership: Membership, state_writer: StateWriter) -> None:
         self.context = context
         self.cluster_state = context.cluster_state
         self.membership = membership
         self.state_writer = state_writer
-        #: For each peer, the machines that it has not acknowledged yet, and since when each waits.
-        self._unannounced: dict[str, dict[str, timedelta]] = {}
-        self._in_flight: set[str] = set()
-        self._sent_at = timedelta(days=-1)
-        self._members: dict[str, int] = {}
+        #: For each peer, the machines that it has not acknowledged yet, and when each was queued.
+        self._unacknowledged: dict[str, dict[str, timedelta]] = {}
+        #: Peers to which an announcement is in flight.
+        self._peers_in_flight: set[str] = set()
+        self._last_sent_at = timedelta(days=-1)
+        #: Members at the previous epoch change, with their incarnations.
+        self._previous_members: dict[str, int] = {}
 
     def announce(self, machine: Machine, report: Report) -> None:
-        """Announces a machine on its first report here, or on its first report after it was considered lost.
+        """Queues a machine on its first report to this controller, or its first after it was considered lost.
 
-        All controllers learn of it without a write to the state service.
+        All controllers normally learn of it without a write to the state service; see ``OUTBOX_FALLBACK_AFTER``.
         """
         record = MachineRecord(report.type, report.zone, report.spot, report.addr)
         self.cluster_state.add_reported_machine(machine.id, record)
+        # A machine with a committed record is announced only after a loss, which suspended placement at the peers.
         if machine.id in self.cluster_state.reported_machines or machine.lost:
             for peer in self._peers():
-                self._unannounced.setdefault(peer, {})[machine.id] = self.context.now
+                self._unacknowledged.setdefault(peer, {})[machine.id] = self.context.now
 
-    def announce_cloud_machine(self, name: str, record: MachineRecord) -> None:
-        """Announces a machine that is known only from the cloud so far."""
-        self.cluster_state.add_reported_machine(name, record)
+    def announce_cloud_machine(self, machine_id: str, record: MachineRecord) -> None:
+        """Queues a machine that is known only from the cloud so far."""
+        self.cluster_state.add_reported_machine(machine_id, record)
         for peer in self._peers():
-            self._unannounced.setdefault(peer, {}).setdefault(name, self.context.now)
+            self._unacknowledged.setdefault(peer, {}).setdefault(machine_id, self.context.now)
 
     def _peers(self) -> list[str]:
         epoch = self.membership.epoch
         return [] if epoch is None else [name for name in epoch.members if name != self.context.name]
 
     def announce_to_new_members(self) -> None:
-        """Queues the machines without a record for new members: the leader queues all, other controllers their own."""
+        """Queues machines without a record for members that joined or restarted: the leader all, others their own."""
         epoch = self.membership.epoch
         members = {} if epoch is None else epoch.members
         for peer in self._peers():
-            if self._members.get(peer) != members[peer]:
-                self._unannounced[peer] = {
-                    name: self.context.now
-                    for name in self.cluster_state.reported_machines
-                    if self.membership.is_leader() or self.membership.owner(name) == self.context.name
+            if self._previous_members.get(peer) != members[peer]:
+                self._unacknowledged[peer] = {
+                    machine_id: self.context.now
+                    for machine_id in self.cluster_state.reported_machines
+                    if self.membership.is_leader() or self.membership.owner(machine_id) == self.context.name
                 }
-        for peer in [name for name in self._unannounced if name not in members]:
-            del self._unannounced[peer]
-        self._members = dict(members)
+        for peer in [peer for peer in self._unacknowledged if peer not in members]:
+            del self._unacknowledged[peer]
+        self._previous_members = dict(members)
 
     def send_pending(self) -> None:
-        """Sends the pending announcements, and hands those that are overdue to the outbox record."""
+        """Sends the pending announcements, and hands the overdue ones to the exit tracker for the outbox record."""
         context = self.context
-        if context.now - self._sent_at < NOTIFY_INTERVAL:
+        if context.now - self._last_sent_at < PEER_MESSAGE_INTERVAL:
             return
-        self._sent_at = context.now
+        self._last_sent_at = context.now
         overdue: dict[str, None] = {}
-        for peer, unannounced in self._unannounced.items():
-            if not unannounced:
+        for peer, unacknowledged in self._unacknowledged.items():
+            if not unacknowledged:
                 continue
             batch: list[peers.ReportedMachine] = []
-            for name, since in list(unannounced.items()):
-                record = self.cluster_state.machines.get(name)
-                if record is None or record.use is not MachineUse.UP:
-                    del unannounced[name]  # the record supersedes the announcement
+            for machine_id, queued_at in list(unacknowledged.items()):
+                record = self.cluster_state.machines.get(machine_id)
+                if record is None or record.lifecycle is not MachineLifecycle.UP:
+                    del unacknowledged[machine_id]  # the machine was removed, or its record has another state by now
                     continue
-                if context.now - since > OUTBOX_FALLBACK_AFTER:
-                    # Without the outbox record an unreachable peer would never place tasks on this machine.
-                    overdue[name] = None
+                if context.now - queued_at > OUTBOX_FALLBACK_AFTER:
+                    # Without the outbox record, a peer that cannot be reached would never place tasks on this machine.
+                    overdue[machine_id] = None
                 if len(batch) < peers.MAX_MACHINES_PER_MESSAGE:
-                    batch.append(peers.ReportedMachine(name, record.type, record.zone, record.spot, record.addr))
-            if batch and peer not in self._in_flight:
+                    batch.append(peers.ReportedMachine(machine_id, record.type, record.zone, record.spot, record.addr))
+            if batch and peer not in self._peers_in_flight:
                 self._send_to_peer(peer, batch)
-        self.state_writer.exit_tracker.unannounced_machines = overdue
+        self.state_writer.exit_tracker.overdue_announcements = overdue
 
     def _send_to_peer(self, peer: str, batch: list[peers.ReportedMachine]) -> None:
-        def then(status: int, body: bytes) -> None:
-            self._in_flight.discard(peer)
+        def on_response(status: int, body: bytes) -> None:
+            self._peers_in_flight.discard(peer)
             if status == 200:
-                unannounced = self._unannounced.get(peer, {})
+                unacknowledged = self._unacknowledged.get(peer, {})
                 for machine in batch:
-                    unannounced.pop(machine.name, None)
+                    unacknowledged.pop(machine.name, None)
+
+        if self.context.call_peer(
+            peer, peers.MACHINE_ANNOUNCEMENT_PATH, wire.encode(peers.MachineAnnouncement(batch)), on_response
+        ):
+            self._peers_in_flight.add(peer)
 
-        if self.context.call_peer(peer, peers.REPORTED_MACHINES_PATH, wire.encode(peers.ReportedMachines(batch)), then):
-            self._in_flight.add(peer)
+    def announce_returned(self, machine_ids: list[str]) -> None:
+        """Announces returned machines to the peers, without retries.
 
-    def announce_returned(self, names: list[str]) -> None:
-        """Announces returned machines to the peers, once. A peer that misses it finds the machines silent."""
+        A peer that misses the message detects that the machines no longer report.
+        """
         for peer in self._peers():
-            for start in range(0, len(names), peers.MAX_MACHINES_PER_MESSAGE):
-                body = wire.encode(peers.ReportedMachines([], names[start : start + peers.MAX_MACHINES_PER_MESSAGE]))
-                self.context.call_peer(peer, peers.REPORTED_MACHINES_PATH, body, lambda status, body: None)
+            for start in range(0, len(machine_ids), peers.MAX_MACHINES_PER_MESSAGE):
+                body = wire.encode(
+                    peers.MachineAnnouncement([], machine_ids[start : start + peers.MAX_MACHINES_PER_MESSAGE])
+                )
+                self.context.call_peer(peer, peers.MACHINE_ANNOUNCEMENT_PATH, body, lambda status, body: None)
--- a/src/gladecroft/coordination/machines/commands.py
+++ b/src/gladecroft/coordination/machines/commands.py
@@ -13,7 +13,7 @@
 from gladecroft.protocol.wire import Command, CommandOp
 from gladecroft.protocol.wire import ReportedTaskState as ObservedState
 
-#: A command that is still due is pushed again after this time.
+#: A direct command that is still due is sent again after this time.
 RESEND_INTERVAL = timedelta(seconds=1.5)
 #: Maximum number of commands in one reply; limited by the size of a message body.
 MAX_COMMANDS = 480
@@ -32,11 +32,11 @@
     machine: Machine,
     desired: Mapping[TaskKey, TaskRecord],
     jobs: Mapping[str, Job],
-    ended: Callable[[TaskKey, int], bool],
+    is_ended: Callable[[TaskKey, int], bool],
 ) -> tuple[list[Command], list[TaskKey]]:
     """Returns the commands for a machine, and the desired tasks whose absence from its report confirms their end.
 
-    ``ended`` tells whether an attempt is already confirmed ended. Such an attempt must not be started again, because
+    ``is_ended`` tells whether an attempt is already confirmed ended. Such an attempt must not be started again, because
     its task may soon run on another machine.
     """
     trusted = machine.has_trusted_report()
@@ -44,7 +44,7 @@
     absent: list[TaskKey] = []
     blocked: set[TaskKey] = set()
     for key, extras in machine.extra_attempts.items():
-        # Surplus attempts are removed before anything starts; the machine would refuse the start each time.
+        # Extra attempts are removed before a start; otherwise the machine would reject the start each time.
         for extra in extras:
             if extra.state is not ObservedState.EXITED:
                 commands.append(Command(CommandOp.STOP, f"{key[0]}/{key[1]}", extra.attempt, 0.0))
@@ -58,43 +58,44 @@
         if job is None:
             continue
         observed = machine.observed.get(key)
-        name = f"{key[0]}/{key[1]}"
+        task_name = f"{key[0]}/{key[1]}"
         stopping = task.state == TaskState.STOPPING or job.cancelled
-        ended_or_blocked = ended(key, task.attempt) or key in blocked
+        ended_or_blocked = is_ended(key, task.attempt) or key in blocked
         if observed is not None and observed.attempt != task.attempt:
             # An earlier attempt is still on the machine and has to be removed first.
             if observed.state is not ObservedState.EXITED:
-                commands.append(Command(CommandOp.STOP, name, observed.attempt, 0.0))
+                commands.append(Command(CommandOp.STOP, task_name, observed.attempt, 0.0))
             elif trusted:
-                commands.append(Command(CommandOp.FORGET, name, observed.attempt))
+                commands.append(Command(CommandOp.FORGET, task_name, observed.attempt))
                 if not stopping and not ended_or_blocked:
-                    commands.append(Command(CommandOp.START, name, task.attempt))
+                    commands.append(Command(CommandOp.START, task_name, task.attempt))
         elif observed is None:
             if stopping:
                 if trusted:
                     absent.append(key)
             elif not ended_or_blocked:
-                commands.append(Command(CommandOp.START, name, task.attempt))
+                commands.append(Command(CommandOp.START, task_name, task.attempt))
         elif observed.state is not ObservedState.EXITED and stopping:
             grace = 0.0 if job.cancelled else job.spec.save_s + 1.0
             if observed.state is not ObservedState.SAVING or job.cancelled:
-                commands.append(Command(CommandOp.STOP, name, task.attempt, grace))
+                commands.append(Command(CommandOp.STOP, task_name, task.attempt, grace))
     for key, observed in machine.observed.items():
         if key in desired:
             continue
-        name = f"{key[0]}/{key[1]}"
+        task_name = f"{key[0]}/{key[1]}"
         if observed.state is not ObservedState.EXITED:
-            commands.append(Command(CommandOp.STOP, name, observed.attempt, 0.0))
+            commands.append(Command(CommandOp.STOP, task_name, observed.attempt, 0.0))
         elif trusted:
-            commands.append(Command(CommandOp.FORGET, name, observed.attempt))
+            commands.append(Command(CommandOp.FORGET, task_name, observed.attempt))
     return commands[:MAX_COMMANDS], absent
 
 
 def commands_to_push(commands: list[Command], sent_at: Mapping[CommandKey, timedelta], now: timedelta) -> list[Command]:
-    """Selects the commands to send at once instead of with the reply to the next report.
+    """Selects the commands to send directly, without waiting for the next report.
 
-    Returns nothing if only FORGET commands are due. A FORGET of an earlier attempt accompanies every START of the same
-    task even if it was sent before: it may still be in flight, and a START that overtakes it is refused.
+    Returns nothing if only FORGET commands are due. A START is accompanied by the FORGET of an earlier attempt of the
+    task even if that FORGET was sent before: it may still be in flight, and the machine would reject a START that
+    overtakes it.
     """
     tasks_to_start = {command.task for command in commands if command.op is CommandOp.START}
     due = [
--- a/src/gladecroft/coordination/machines/fault_attribution.py
+++ b/src/gladecroft/coordination/machines/fault_attribution.py
@@ -2,8 +2,8 @@
 
 A job submitted with a mistake fails on every machine until its user cancels it. A faulty machine fails every job. A job
 that fails on several machines is therefore considered faulty. A machine is considered faulty if jobs fail on it that
-complete elsewhere, or if several jobs fail on it that have failed on no other machine. Counting the failures of a
-machine alone is not enough: three faulty jobs caused good machines to be marked faulty one after the other.
+complete elsewhere, or if several jobs fail on it that have failed on no other machine. Counting the failures on a
+machine is not enough: with such a count, three faulty jobs caused good machines to be marked faulty one after another.
 
 The result affects ranking, backoff and the marking of faulty machines. It never proves that an attempt has ended.
 
@@ -24,7 +24,7 @@
 FAULTY_MACHINE_FAILURES = 2
 #: A machine is faulty once this many jobs have failed on it that have failed on no other machine.
 FAULTY_MACHINE_JOBS = 3
-#: Delay before the next task of a faulty job is started; doubles with each try up to the maximum.
+#: Delay before the next task of a faulty job is started; doubles with each start up to the maximum.
 RETRY_BACKOFF_MIN = timedelta(seconds=4)
 RETRY_BACKOFF_MAX = timedelta(seconds=64)
 #: Once the tasks of a faulty job have run this long, as many more may start.
@@ -41,36 +41,38 @@
     return not job.done_count and len(job.failed_machines()) >= FAULTY_JOB_MACHINES
 
 
-def allowed_extra_starts(job: Job, now_s: float) -> int:
+def allowed_extra_starts(job: Job, now_wall_s: float) -> int:
     """Returns how many more tasks of a faulty job may start besides the running ones.
 
-    ``now_s`` is the wall clock time in seconds.
+    ``now_wall_s`` is the wall-clock time in seconds.
     """
     if job.spec.kind is JobKind.GANG:
         return job.spec.tasks
     if not job.placed_count:
         return 1
-    newest = max(task.placed_s for _, task in job.placed_tasks())
-    return job.placed_count if now_s - newest >= HEALTHY_RUN_TIME.total_seconds() else 0
+    newest_start_s = max(task.placed_s for _, task in job.placed_tasks())
+    return job.placed_count if now_wall_s - newest_start_s >= HEALTHY_RUN_TIME.total_seconds() else 0
 
 
-def retry_backoff(tries: int) -> timedelta:
-    """Returns the delay between the last start of a faulty job's task and the next, after ``tries`` starts."""
-    return min(RETRY_BACKOFF_MAX, RETRY_BACKOFF_MIN * (1 << min(tries, 10)))
+def retry_backoff(starts: int) -> timedelta:
+    """Returns the delay between the last start of a faulty job's task and the next, after this many starts."""
+    return min(RETRY_BACKOFF_MAX, RETRY_BACKOFF_MIN * (1 << min(starts, 10)))
 
 
 def diagnose_machine(
-    failures: Mapping[str, int], machine: str, completed: Collection[str], failed_on: Mapping[str, Collection[str]]
+    failures: Mapping[str, int], machine_id: str, completed: Collection[str], failed_on: Mapping[str, Collection[str]]
 ) -> tuple[bool, bool]:
-    """Returns whether a machine is faulty, and whether jobs with completed tasks show it.
+    """Returns whether a machine is faulty, and whether failures of jobs with completed tasks are the evidence.
 
-    ``failures`` counts the failures on ``machine`` by job since a task last completed there. ``completed`` contains the
-    jobs of which a task has completed, ``failed_on`` the machines on which each job has failed.
+    ``failures`` counts the failures on the machine by job id since a task last completed there. ``completed`` contains
+    the jobs of which a task has completed, ``failed_on`` the machines on which each job has failed.
     """
-    of_completed = sum(count for job, count in failures.items() if job in completed)
-    if of_completed >= FAULTY_MACHINE_FAILURES:
+    failures_of_completed = sum(count for job_id, count in failures.items() if job_id in completed)
+    if failures_of_completed >= FAULTY_MACHINE_FAILURES:
         return True, True
     only_here = [
-        job for job in failures if job in completed or not any(other != machine for other in failed_on.get(job, ()))
+        job_id
+        for job_id in failures
+        if job_id in completed or not any(other != machine_id for other in failed_on.get(job_id, ()))
     ]
     return len(only_here) >= FAULTY_MACHINE_JOBS, False
