--- a/src/gladecroft/coordination/machines/machine.py
+++ b/src/gladecroft/coordination/machines/machine.py
@@ -1,8 +1,10 @@
 """The owner's view of one machine, and whether the machine receives the owner's replies.
 
+The owner of a machine is the controller that replies to its reports and sends it commands.
+
 Arriving reports do not prove that replies arrive at the machine. A report *acknowledges* the owner's replies if it
 carries a token that the machine can only know from such a reply, or if it comes sooner than a machine without a
-reply would report again: by the protocol it waits 4 s for a reply and tries the next controller 1 s later.
+reply would report again: by the protocol, the machine waits 4 s for a reply and tries the next controller 1 s later.
 Stale reports delivered again acknowledge nothing, because their token is older than this owner's first reply.
 
 A machine that fails to acknowledge when asked gets no more tasks. If it has acknowledged nothing for a whole lease, its
@@ -17,17 +19,17 @@
 
 from gladecroft.protocol.wire import CommandOp, Report, TaskReport
 
-#: A machine without a reply reports again after 5 s at the earliest; an earlier report acknowledges a reply.
-UNANSWERED_RETRY_MIN = timedelta(seconds=4.5)
+#: A machine that gets no reply reports again after 5 s at the earliest; a report sooner than this acknowledges a reply.
+NO_REPLY_RETRY_MIN = timedelta(seconds=4.5)
 
-#: A job's name and the task's number.
+#: A job's id and the task's number.
 TaskKey = tuple[str, int]
 
 
 def parse_task_key(task: str) -> TaskKey | None:
     """Splits ``<job>/<number>``; returns None if the text has another form."""
-    job, _, number = task.rpartition("/")
-    return (job, int(number)) if job and number.isdigit() and len(number) < 10 else None
+    job_id, _, number = task.rpartition("/")
+    return (job_id, int(number)) if job_id and number.isdigit() and len(number) < 10 else None
 
 
 class Machine(msgspec.Struct, eq=False):
@@ -42,29 +44,30 @@
     token: int
     report: Report | None = None
     observed: dict[TaskKey, TaskReport] = {}
-    #: Further attempts of observed tasks: a refused start is reported beside the attempt that blocked it.
+    #: Further attempts of observed tasks: a rejected start is reported beside the attempt that blocked it.
     extra_attempts: dict[TaskKey, list[TaskReport]] = {}
-    #: When a report was last answered, and when a report or a response to a direct command last arrived.
-    answered_at: timedelta | None = None
-    heard_at: timedelta | None = None
-    #: Session of the report that was last answered. No direct command is sent in a session without an answered report:
-    #: its lease began earlier and ends later than ``answered_at`` suggests.
-    answered_session: int = 0
-    #: Whether a direct command has no response yet, and whether the reply to the newest report starts a task. The
-    #: reply may arrive up to 4 s after it was sent. Meanwhile the absence of a task in a report proves nothing.
+    #: When the owner last replied to a report, and when a report last arrived, also one in the response to a direct
+    #: command.
+    last_reply_at: timedelta | None = None
+    last_report_at: timedelta | None = None
+    #: Session of the report that the owner last replied to. No direct command is sent in a session before the first
+    #: reply in it: the session began with a lease that may end later than ``last_reply_at`` suggests.
+    last_reply_session: int = 0
+    #: Whether a direct command has no response yet, and whether the reply to the newest report contains a START, which
+    #: may arrive up to 4 s later. In both cases the absence of a task in a report proves nothing.
     push_pending: bool = False
     start_pending: bool = False
     #: When each command was last sent, by command key.
-    sent_at: dict[tuple[str, int, int, CommandOp], timedelta] = {}
-    #: Failures on this machine, by job, since a task last completed on it.
+    command_sent_at: dict[tuple[str, int, int, CommandOp], timedelta] = {}
+    #: Failures on this machine, by job id, since a task last completed on it.
     failures_by_job: dict[str, int] = {}
     #: Images that recently ran on the machine, oldest first.
     cached_images: dict[str, None] = {}
     #: ``lost``: the lease has ended. ``suspect``: it may not receive replies; nothing more is placed on it.
     lost: bool = False
     suspect: bool = False
-    #: When the machine last acknowledged a reply, the token that it is asked to return, and the number of reports
-    #: since then that did not acknowledge it.
+    #: When the machine last acknowledged a reply, the token that it is asked to return (None: not asked), and the
+    #: number of reports since the request that acknowledged nothing.
     acked_at: timedelta | None = None
     ack_token: int | None = None
     unacked_reports: int = 0
@@ -85,8 +88,8 @@
             return False
         if is_response or self.acked_at is None or self.ack_token is not None and report.token >= self.ack_token:
             return True
-        return self.heard_at is not None and now - self.heard_at < UNANSWERED_RETRY_MIN
+        return self.last_report_at is not None and now - self.last_report_at < NO_REPLY_RETRY_MIN
 
     def ack_overdue(self, now: timedelta, lease: timedelta) -> bool:
-        """Whether the machine has acknowledged nothing for a lease although it was asked to."""
+        """Whether the machine has acknowledged nothing for a whole lease although it was asked to."""
         return self.unacked_reports > 0 and now - (self.acked_at or self.owner_since) > lease
--- a/src/gladecroft/coordination/machines/manager.py
+++ b/src/gladecroft/coordination/machines/manager.py
@@ -1,4 +1,7 @@
-"""Manages the machines that this controller owns: replies to reports, sends commands, detects ended tasks.
+"""Manages the machines that this controller owns: replies to reports, sends commands, detects exits.
+
+The owner of a machine is the controller that replies to its reports. Each reply renews the machine's lease; a machine
+whose lease has ended stops its tasks.
 
 The tasks that the records place on a machine are the *desired* ones, those that its newest report lists the *observed*
 ones; the commands are derived from the difference. The absence of a task proves something only in a *trusted* report:
@@ -13,7 +16,7 @@
 
 import msgspec
 
-from gladecroft.bookkeeping.records import MachineRecord, MachineUse
+from gladecroft.bookkeeping.records import MachineLifecycle, MachineRecord
 from gladecroft.coordination.consent import PeerConsent
 from gladecroft.coordination.context import CLOCK_SKEW_FACTOR, ControllerContext
 from gladecroft.coordination.events import IncomingRequest
@@ -29,11 +32,11 @@
 
 log = logging.getLogger(__name__)
 
-#: How often machines are checked for missing reports.
+#: How often the machines are checked for missing reports.
 SILENCE_CHECK_INTERVAL = timedelta(milliseconds=400)
-#: A machine that has acknowledged nothing for the lease divided by this is asked for an acknowledgement.
+#: A machine that has acknowledged nothing for its lease time divided by this is asked for an acknowledgement.
 ACK_REQUESTS_PER_LEASE = 3
-#: How often all known machines are scanned for ones that this controller owns and that have not reported.
+#: How often all known machines are scanned for owned ones that have not reported to this controller.
 SCAN_INTERVAL = timedelta(seconds=1.2)
 
 
@@ -67,20 +70,20 @@
         """
         if not continuous:
             self.machines.clear()
-        for name in list(self.machines):
-            if not self.membership.is_member() or self.membership.owner(name) != self.context.name:
-                del self.machines[name]
+        for machine_id in list(self.machines):
+            if not self.membership.is_member() or self.membership.owner(machine_id) != self.context.name:
+                del self.machines[machine_id]
         self.misrouted.epoch_changed()
         self.cluster_state.dirty_for_owner.update(self.cluster_state.tasks_by_machine, self.cluster_state.machines)
         self._scanned_at = timedelta(days=-1)
         self.announcer.announce_to_new_members()
 
-    def ensure_machine(self, name: str) -> Machine:
+    def ensure_machine(self, machine_id: str) -> Machine:
         """Returns the state of an owned machine, creating it on first use."""
-        machine = self.machines.get(name)
+        machine = self.machines.get(machine_id)
         if machine is None:
             base = self.membership.base_token()
-            machine = self.machines[name] = Machine(name, self.membership.epoch_seen_at, base, base)
+            machine = self.machines[machine_id] = Machine(machine_id, self.membership.epoch_seen_at, base, base)
         return machine
 
     def current_token(self, machine: Machine) -> int:
@@ -96,13 +99,17 @@
         report = context.decode_request(request, Report)
         if report is None:
             return
-        if not self.consent.may_answer_machines():
+        if not self.consent.may_reply_to_reports():
             context.reply_error(request.request_id, 503, "not entitled to act", 1)
             return
         known = self.cluster_state.machines.get(report.machine)
-        if self.cluster_state.was_returned(report.machine) or known is not None and known.use is MachineUse.RETURNED:
-            # The report was in flight when the machine was returned. If accepted, tasks would be placed on a machine
-            # that no longer exists.
+        if (
+            self.cluster_state.was_returned(report.machine)
+            or known is not None
+            and known.lifecycle is MachineLifecycle.RETURNED
+        ):
+            # The report was in flight when the machine was returned to the cloud. If it were accepted, tasks would be
+            # placed on a machine that no longer exists.
             context.reply_error(request.request_id, 503, "this machine was returned", 1)
             return
         owner = self.membership.owner(report.machine, report.zone)
@@ -118,26 +125,26 @@
             context.reply_error(request.request_id, 503, "a newer report is known", 1)
             return
         if machine.ack_overdue(context.now, context.machine_lease):
-            # Its lease has ended, whatever replies it got. If it still got replies, the machine would count as
-            # alive for as long as it reports, and the end of its tasks would never be confirmed.
+            # The machine has acknowledged no reply for a whole lease, so its lease has ended. With further replies it
+            # would count as alive for as long as it reports, and the exits of its tasks would never be confirmed.
             context.reply_error(request.request_id, 503, "this machine does not hear its answers", 1)
             return
         self._request_ack(machine)
-        machine.answered_at, machine.answered_session = context.now, report.session
+        machine.last_reply_at, machine.last_reply_session = context.now, report.session
         commands = self._next_commands(machine)
         machine.start_pending = any(command.op is CommandOp.START for command in commands)
         context.reply(request.request_id, 200, wire.encode(Commands(self.current_token(machine), commands)))
         self.cluster_state.dirty_for_owner.discard(machine.id)
 
     def _request_ack(self, machine: Machine) -> None:
-        """Raises the token of the next reply if the machine has acknowledged none for some time.
+        """Raises the token of the next reply if the machine has acknowledged no reply for some time.
 
-        Most machines report so often that each report is an acknowledgement, and need no request.
+        No request is needed for most machines: they report so often that each report is an acknowledgement.
         """
         if machine.ack_token is not None:
             return
         if machine.acked_at is None:
-            machine.ack_token = machine.fencing_token  # its first reply carries the token to return
+            machine.ack_token = machine.fencing_token  # the first reply carries the token to return
         elif self.context.now - machine.acked_at > max(
             self.context.machine_lease / ACK_REQUESTS_PER_LEASE, 2 * self.context.report_interval
         ):
@@ -146,7 +153,7 @@
     def _accept_report(self, machine: Machine, report: Report, is_response: bool = False) -> bool:
         """Accepts a report if it is newer than the last one; returns whether it is.
 
-        ``is_response`` marks a report that is the response to a direct command and so acknowledges it.
+        ``is_response`` marks a report that is the response to a direct command, and therefore an acknowledgement.
         """
         old = machine.report
         if old is not None and (report.session, report.seq) <= (old.session, old.seq):
@@ -160,18 +167,18 @@
         if not machine.announced and (acknowledged or not report.token):
             machine.announced = True
             # A report with an old token may be a stale duplicate, so the machine is announced only once it acknowledges
-            # a reply. A machine that has never received a token is new.
+            # a reply. A machine without a token has never received a reply and is announced at once.
             self.announcer.announce(machine, report)
         if old is None or report.session != old.session:
-            machine.sent_at = {}
+            machine.command_sent_at = {}
             if old is not None:
-                log.info("%s is in session %d", machine.id, report.session)
+                log.info("machine %s has begun session %d", machine.id, report.session)
         if old is None or was_unreachable or machine.suspect:
             self.cluster_state.dirty_for_placement.add(machine.id)
         machine.report = report
-        machine.heard_at = self.context.now
+        machine.last_report_at = self.context.now
         if not is_response:
-            machine.start_pending = False  # it has received the last reply, or no longer waits for it
+            machine.start_pending = False  # the machine has received the last reply, or no longer waits for it
         if acknowledged:
             machine.lost = machine.suspect = False
         elif machine.unacked_reports:
@@ -191,7 +198,7 @@
             machine.observed[key] = task
         if machine.acked_at is not None:
             # Until a reply is acknowledged, the report may be a stale duplicate from before this controller owned the
-            # machine. The attempt that it lists as exited may since have been started again, in another session.
+            # machine. An attempt that it lists as exited may have been started again since, in another session.
             self.evaluator.evaluate(machine)
         self._update_record(machine, report, acknowledged)
         return True
@@ -201,15 +208,15 @@
 
         An announcement proves nothing: only committed records place tasks on machines.
         """
-        message = self.context.decode_request(request, peers.ReportedMachines)
+        message = self.context.decode_request(request, peers.MachineAnnouncement)
         if message is None:
             return
         if not self.context.records_loaded:
             self.context.reply_error(request.request_id, 503, "starting", 1)
             return
-        for name in message.gone:
-            self.cluster_state.remove_machine(name)
-            self.machines.pop(name, None)
+        for machine_id in message.returned:
+            self.cluster_state.remove_machine(machine_id)
+            self.machines.pop(machine_id, None)
         for reported in message.machines:
             self.cluster_state.add_reported_machine(
                 reported.name, MachineRecord(reported.type, reported.zone, reported.spot, reported.addr)
@@ -218,25 +225,25 @@
 
     def _update_record(self, machine: Machine, report: Report, acknowledged: bool) -> None:
         known = self.state_writer.machine_record(machine.id)
-        use = MachineUse.UP if known is None else known.use
-        if use is MachineUse.RETURNED:
+        lifecycle = MachineLifecycle.UP if known is None else known.lifecycle
+        if lifecycle is MachineLifecycle.RETURNED:
             return
-        if use is MachineUse.SILENT and acknowledged:
-            use = MachineUse.UP
+        if lifecycle is MachineLifecycle.SILENT and acknowledged:
+            lifecycle = MachineLifecycle.UP
         if known is None and not acknowledged and report.token:
             return
-        until = 0 if known is None else known.until_s
+        until_s = 0 if known is None else known.until_s
         if report.notice_s is not None:
-            until = until or int(self.context.wall_time.timestamp() + report.notice_s)
-            if use is not MachineUse.FAULTY:
-                use = MachineUse.RECLAIMING
-        record = MachineRecord(report.type, report.zone, report.spot, report.addr, use, until)
+            until_s = until_s or int(self.context.wall_time.timestamp() + report.notice_s)
+            if lifecycle is not MachineLifecycle.FAULTY:
+                lifecycle = MachineLifecycle.RECLAIMING
+        record = MachineRecord(report.type, report.zone, report.spot, report.addr, lifecycle, until_s)
         self.state_writer.put_machine(machine.id, record)
 
     # Commands ------------------------------------------------------------------------------------------------
 
     def _next_commands(self, machine: Machine) -> list[Command]:
-        """Returns the commands for a machine and marks them as sent; records tasks whose absence confirms their end."""
+        """Returns the commands for a machine, marks them as sent, and records the exits that its report confirms."""
         desired = self.cluster_state.tasks_by_machine.get(machine.id, {})
         exits = self.state_writer.exits
         commands, absent = reconcile(
@@ -244,52 +251,52 @@
         )
         for key in absent:
             self.state_writer.record_exit(*key, desired[key].attempt, Outcome(False, desired[key].note or "stopped"))
-        if len(machine.sent_at) > 2 * len(commands) + 200:
-            machine.sent_at.clear()
+        if len(machine.command_sent_at) > 2 * len(commands) + 200:
+            machine.command_sent_at.clear()
         for command in commands:
-            machine.sent_at[command_key(command)] = self.context.now
+            machine.command_sent_at[command_key(command)] = self.context.now
         return commands
 
     def push_commands(self) -> None:
-        """Sends direct commands to machines whose desired tasks changed, and drives held reports and announcements."""
+        """Sends direct commands to machines whose desired tasks changed, and handles held reports and announcements."""
         self.misrouted.reply_to_held()
         self.misrouted.query_owners()
         self.announcer.send_pending()
         if not self.membership.is_active():
             return
         dirty, self.cluster_state.dirty_for_owner = self.cluster_state.dirty_for_owner, set()
-        for name in dirty:
-            if self.membership.owner(name) == self.context.name:
-                if name in self.cluster_state.tasks_by_machine or name in self.cluster_state.machines:
-                    machine = self.ensure_machine(name)
+        for machine_id in dirty:
+            if self.membership.owner(machine_id) == self.context.name:
+                if machine_id in self.cluster_state.tasks_by_machine or machine_id in self.cluster_state.machines:
+                    machine = self.ensure_machine(machine_id)
                     if machine.report is not None and machine.acked_at is not None:
                         self.evaluator.evaluate(machine)
                     self._push(machine)
-                elif name in self.machines:
-                    self._push(self.machines[name])
+                elif machine_id in self.machines:
+                    self._push(self.machines[machine_id])
 
     def _push(self, machine: Machine) -> None:
         context = self.context
         report = machine.report
-        if report is None or machine.push_pending or machine.lost or machine.answered_at is None:
+        if report is None or machine.push_pending or machine.lost or machine.last_reply_at is None:
             return
-        if machine.heard_at is None or context.now - machine.heard_at > 2 * context.report_interval:
+        if machine.last_report_at is None or context.now - machine.last_report_at > 2 * context.report_interval:
             return
-        if report.session != machine.answered_session:
+        if report.session != machine.last_reply_session:
             return
-        before = dict(machine.sent_at)
+        previously_sent_at = dict(machine.command_sent_at)
         commands = self._next_commands(machine)
-        due = commands_to_push(commands, before, context.now)
-        machine.sent_at = {**machine.sent_at, **before}
+        due = commands_to_push(commands, previously_sent_at, context.now)
+        machine.command_sent_at = {**machine.command_sent_at, **previously_sent_at}
         if not due:
             return
         for command in due:
-            machine.sent_at[command_key(command)] = context.now
+            machine.command_sent_at[command_key(command)] = context.now
         token = self.current_token(machine)
         sent_at = context.now
         machine.push_pending = True
 
-        def then(status: int, body: bytes) -> None:
+        def on_response(status: int, body: bytes) -> None:
             if self.machines.get(machine.id) is not machine:
                 return
             machine.push_pending = False
@@ -297,32 +304,35 @@
                 try:
                     response: Report = wire.decode(Report, body)
                 except msgspec.DecodeError as error:
-                    log.error("%s responded to a command with a malformed report: %s", machine.id, error)
+                    log.error("machine %s responded to a direct command with a malformed report: %s", machine.id, error)
                 else:
-                    self._accept_report(machine, response, True)  # does not renew the lease: answered_at stays
+                    self._accept_report(machine, response, True)  # does not renew the lease, so last_reply_at stays
                     self.cluster_state.dirty_for_owner.add(machine.id)
                     return
             if (
-                machine.heard_at is not None
-                and machine.heard_at <= sent_at
+                machine.last_report_at is not None
+                and machine.last_report_at <= sent_at
                 and context.now - sent_at > context.report_interval / 2
             ):
-                # Neither a response nor a report since: no more tasks are placed there until the next report.
+                # Neither a response nor a report has arrived since: no more tasks are placed on the machine until it
+                # acknowledges a reply.
                 machine.suspect = True
                 self.cluster_state.dirty_for_placement.add(machine.id)
             if status != -1:
-                # The command may still be in flight: from now on only reports with a higher token prove anything.
+                # The command may still be in flight. From now on only reports with a higher token are trusted.
                 machine.token = max(machine.token, token + 1)
                 machine.fencing_token = machine.token
-                log.info("%s did not respond to a direct command: fencing with token %d", machine.id, machine.token)
+                log.info(
+                    "machine %s did not respond to a direct command: fencing with token %d", machine.id, machine.token
+                )
 
         body = wire.encode(Commands(token, due, report.session))
-        context.post_to_worker(report.addr, wire.COMMANDS_PATH, body, then)
+        context.post_to_worker(report.addr, wire.COMMANDS_PATH, body, on_response)
 
     # Silence -------------------------------------------------------------------------------------------------
 
     def check_silence(self) -> None:
-        """Checks for machines without recent reports or replies, and for owned machines not seen before."""
+        """Checks for machines without recent reports or replies, and adds owned machines that are not managed yet."""
         context = self.context
         if not self.membership.is_active() or context.now - self._silence_checked_at < SILENCE_CHECK_INTERVAL:
             return
@@ -332,8 +342,8 @@
             self._scanned_at = context.now
             self._scan_owned_machines()
         now, lease, silence_threshold = context.now, context.machine_lease, self._silence_threshold
-        for name, machine in self.machines.items():
-            last_report, last_reply = machine.heard_at, machine.answered_at
+        for machine_id, machine in self.machines.items():
+            last_report, last_reply = machine.last_report_at, machine.last_reply_at
             if (
                 last_report is not None
                 and last_reply is not None
@@ -341,34 +351,34 @@
                 and now - last_reply <= lease
             ):
                 continue  # fast path: nearly all machines, several times a second
-            if name in self.cluster_state.machines or name in self.cluster_state.tasks_by_machine:
+            if machine_id in self.cluster_state.machines or machine_id in self.cluster_state.tasks_by_machine:
                 self._check_machine(machine)
-        for name in [name for name in self.machines if name not in self.cluster_state.machines]:
-            machine = self.machines[name]
-            if name not in self.cluster_state.tasks_by_machine and (
-                machine.heard_at is None or context.now - machine.heard_at > timedelta(seconds=60)
+        for machine_id in [machine_id for machine_id in self.machines if machine_id not in self.cluster_state.machines]:
+            machine = self.machines[machine_id]
+            if machine_id not in self.cluster_state.tasks_by_machine and (
+                machine.last_report_at is None or context.now - machine.last_report_at > timedelta(seconds=60)
             ):
-                del self.machines[name]
+                del self.machines[machine_id]
 
     def _scan_owned_machines(self) -> None:
         """Adds the owned machines among all known ones, so that those silent from the start are checked too."""
-        for name in {*self.cluster_state.tasks_by_machine, *self.cluster_state.machines}:
-            owner = self.membership.owner(name) or ""
-            # Recorded at once: if recorded only at the next epoch, it would look like a change of owner.
-            self.misrouted.owners.setdefault(name, (owner, self.context.now))
+        for machine_id in {*self.cluster_state.tasks_by_machine, *self.cluster_state.machines}:
+            owner = self.membership.owner(machine_id) or ""
+            # Recorded at once: an owner that is recorded only at the next epoch would look like a new one.
+            self.misrouted.owners.setdefault(machine_id, (owner, self.context.now))
             if owner == self.context.name:
-                self.ensure_machine(name)
+                self.ensure_machine(machine_id)
 
     def lease_expiry(self, machine: Machine) -> timedelta:
-        """Returns when a silent machine's lease has certainly ended, whichever controller replied to it last."""
-        last = machine.owner_since + self.context.member_ttl * CLOCK_SKEW_FACTOR
-        if machine.answered_at is not None:
-            last = max(last, machine.answered_at)
-        return last + self.context.machine_lease * CLOCK_SKEW_FACTOR + TRANSIT_MARGIN
+        """Returns when a silent machine's lease has certainly ended, whichever controller sent the last reply."""
+        latest_reply_at = machine.owner_since + self.context.member_ttl * CLOCK_SKEW_FACTOR
+        if machine.last_reply_at is not None:
+            latest_reply_at = max(latest_reply_at, machine.last_reply_at)
+        return latest_reply_at + self.context.machine_lease * CLOCK_SKEW_FACTOR + TRANSIT_MARGIN
 
     def _check_machine(self, machine: Machine) -> None:
         context = self.context
-        last_report = max(machine.heard_at or machine.owner_since, machine.owner_since)
+        last_report = max(machine.last_report_at or machine.owner_since, machine.owner_since)
         if context.now - last_report > self._silence_threshold:
             self._mark_silent(machine)
         desired = self.cluster_state.tasks_by_machine.get(machine.id)
@@ -379,25 +389,27 @@
 
     def _mark_silent(self, machine: Machine) -> None:
         known = self.state_writer.machine_record(machine.id)
-        if known is not None and known.use is MachineUse.UP:
-            log.info("%s is silent", machine.id)
-            self.state_writer.put_machine(machine.id, msgspec.structs.replace(known, use=MachineUse.SILENT))
+        if known is not None and known.lifecycle is MachineLifecycle.UP:
+            log.info("machine %s is silent", machine.id)
+            self.state_writer.put_machine(machine.id, msgspec.structs.replace(known, lifecycle=MachineLifecycle.SILENT))
 
-    def handle_returned(self, name: str) -> None:
-        """Records the end of all tasks on a machine that the cloud has confirmed as returned."""
-        self.state_writer.exit_tracker.returned_machines[name] = None
+    def handle_returned(self, machine_id: str) -> None:
+        """Records the exits of all tasks on a machine that the cloud has confirmed as returned."""
+        self.state_writer.exit_tracker.returned_machines[machine_id] = None
         while len(self.state_writer.exit_tracker.returned_machines) > 1000:
             del self.state_writer.exit_tracker.returned_machines[
                 next(iter(self.state_writer.exit_tracker.returned_machines))
             ]
-        for key, task in self.cluster_state.tasks_by_machine.get(name, {}).items():
-            self.state_writer.record_exit(*key, task.attempt, Outcome(False, f"returned {name}"))
-        known = self.state_writer.machine_record(name)
-        if name in self.cluster_state.reported_machines and name not in self.cluster_state.tasks_by_machine:
-            self.cluster_state.remove_machine(name)
+        for key, task in self.cluster_state.tasks_by_machine.get(machine_id, {}).items():
+            self.state_writer.record_exit(*key, task.attempt, Outcome(False, f"returned {machine_id}"))
+        known = self.state_writer.machine_record(machine_id)
+        if machine_id in self.cluster_state.reported_machines and machine_id not in self.cluster_state.tasks_by_machine:
+            self.cluster_state.remove_machine(machine_id)
             known = None
-        # A machine in RETURNING stays so: no tasks are placed on it, whatever late reports say.
-        if known is not None and known.use is not MachineUse.RETURNING:
-            self.state_writer.put_machine(name, msgspec.structs.replace(known, use=MachineUse.RETURNED))
-        self.machines.pop(name, None)
-        self.cluster_state.dirty_for_placement.add(name)
+        # A record in RETURNING is left as it is: it keeps tasks off the machine, whatever late reports say.
+        if known is not None and known.lifecycle is not MachineLifecycle.RETURNING:
+            self.state_writer.put_machine(
+                machine_id, msgspec.structs.replace(known, lifecycle=MachineLifecycle.RETURNED)
+            )
+        self.machines.pop(machine_id, None)
+        self.cluster_state.dirty_for_placement.add(machine_id)
--- a/src/gladecroft/coordination/machines/report_evaluator.py
+++ b/src/gladecroft/coordination/machines/report_evaluator.py
@@ -1,4 +1,4 @@
-"""Derives ended attempts from reports, and marks machines faulty on which tasks fail."""
+"""Derives exits of attempts from reports, and marks machines as faulty if tasks fail on them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.records import MachineUse, TaskState
+from gladecroft.bookkeeping.records import MachineLifecycle, TaskState
 from gladecroft.coordination.context import ControllerContext
 from gladecroft.coordination.machines.fault_attribution import MAX_FAULTY_SHARE, diagnose_machine
 from gladecroft.coordination.machines.machine import Machine, TaskKey
@@ -19,14 +19,15 @@
 
 
 class ReportEvaluator:
-    """Compares a machine's report with the desired tasks."""
+    """Compares the tasks in a machine's report with the desired tasks, those that the records place on it."""
 
     def __init__(self, context: ControllerContext, state_writer: StateWriter) -> None:
         self.cluster_state = context.cluster_state
         self.state_writer = state_writer
-        #: Jobs of which a task has completed on a machine of this controller. Their failures indicate a faulty machine.
+        #: Ids of jobs of which a task has completed on a machine of this controller. Failures of their other tasks
+        #: indicate a faulty machine.
         self._completed_jobs: dict[str, None] = {}
-        #: For each job, the machines of this controller on which it has failed.
+        #: By job id, the machines of this controller on which tasks of the job have failed.
         self._failed_on: dict[str, set[str]] = {}
         #: Machines that this controller has marked faulty because of jobs without a completed task.
         self._marked_faulty: set[str] = set()
@@ -34,7 +35,7 @@
         self.machine_count = 0
 
     def evaluate(self, machine: Machine) -> None:
-        """Compares the observed with the desired tasks and records the attempts that are confirmed ended."""
+        """Records the exits of attempts that a comparison of the observed with the desired tasks confirms."""
         desired = self.cluster_state.tasks_by_machine.get(machine.id, {})
         for key, task in desired.items():
             observed = machine.observed.get(key)
@@ -74,40 +75,40 @@
         elif reason == ExitReason.STOPPED:
             self.state_writer.record_exit(*key, task.attempt, Outcome(False, task.note or "stopped"))
         else:
-            # Counts as a failure, so that the retry is delayed, unless only the capacity was taken meanwhile.
+            # Counts as a failure, so that the retry is delayed, unless the machine only lacked the capacity.
             self.state_writer.record_exit(
                 *key, task.attempt, Outcome(False, f"{reason} {machine.id}", reason != ExitReason.NO_ROOM)
             )
 
     def _update_faulty_mark(self, machine: Machine) -> None:
-        """Marks a faulty machine, and clears the mark of one whose jobs have since failed elsewhere too."""
+        """Marks a machine as faulty, or clears the mark once its jobs have failed on other machines too."""
         jobs = self.cluster_state.jobs
         completed = [
-            name
-            for name in machine.failures_by_job
-            if name in self._completed_jobs or name in jobs and jobs[name].done_count
+            job_id
+            for job_id in machine.failures_by_job
+            if job_id in self._completed_jobs or job_id in jobs and jobs[job_id].done_count
         ]
         failed_on = {
-            name: self._failed_on.get(name, set()) | (jobs[name].failed_machines() if name in jobs else set())
-            for name in machine.failures_by_job
+            job_id: self._failed_on.get(job_id, set()) | (jobs[job_id].failed_machines() if job_id in jobs else set())
+            for job_id in machine.failures_by_job
         }
         faulty, by_completed = diagnose_machine(machine.failures_by_job, machine.id, completed, failed_on)
         known = self.state_writer.machine_record(machine.id)
-        if known is None or faulty is (known.use is MachineUse.FAULTY):
+        if known is None or faulty is (known.lifecycle is MachineLifecycle.FAULTY):
             return
-        if faulty and known.use in (MachineUse.UP, MachineUse.DRAINING):
+        if faulty and known.lifecycle in (MachineLifecycle.UP, MachineLifecycle.DRAINING):
             if not by_completed:
                 self._marked_faulty = {
-                    name
-                    for name in self._marked_faulty
-                    if self.cluster_state.restricted_machines.get(name) is MachineUse.FAULTY
+                    machine_id
+                    for machine_id in self._marked_faulty
+                    if self.cluster_state.restricted_machines.get(machine_id) is MachineLifecycle.FAULTY
                 }
                 if len(self._marked_faulty) >= max(1, int(MAX_FAULTY_SHARE * self.machine_count)):
                     return
                 self._marked_faulty.add(machine.id)
-            log.info("%s marked faulty: tasks fail on it", machine.id)
-            self.state_writer.put_machine(machine.id, msgspec.structs.replace(known, use=MachineUse.FAULTY))
+            log.info("machine %s marked as faulty: tasks fail on it", machine.id)
+            self.state_writer.put_machine(machine.id, msgspec.structs.replace(known, lifecycle=MachineLifecycle.FAULTY))
         elif not faulty and machine.id in self._marked_faulty:
             self._marked_faulty.discard(machine.id)
-            log.info("%s no longer marked faulty: its jobs fail elsewhere too", machine.id)
-            self.state_writer.put_machine(machine.id, msgspec.structs.replace(known, use=MachineUse.UP))
+            log.info("machine %s no longer marked as faulty: its jobs fail on other machines too", machine.id)
+            self.state_writer.put_machine(machine.id, msgspec.structs.replace(known, lifecycle=MachineLifecycle.UP))
--- a/src/gladecroft/coordination/membership/__init__.py
+++ b/src/gladecroft/coordination/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership of the controller group: epochs, leader, machine ownership, and whether this controller is active."""
+"""Membership of the controller group: epochs, the leader, ownership of machines, and when a controller may act."""
 
 from gladecroft.coordination.membership.assignment import rendezvous_hash
 from gladecroft.coordination.membership.epochs import fit_to_size
--- a/src/gladecroft/coordination/membership/membership.py
+++ b/src/gladecroft/coordination/membership/membership.py
@@ -3,9 +3,9 @@
 Each controller's member key is attached to a lease in the state service. Every change to the member keys is followed by
 a new epoch record. All other commits are conditional on that record, so a commit based on an older epoch fails.
 
-A controller is *active*, which means that it may act, for one member lease after a *confirmed renewal*: the lease was
-renewed, a commit of comparisons only showed that the epoch and the member key are as this controller knows them, and
-its cluster state has reached the revision which that commit returned.
+A controller is *active*, that is, allowed to act, for one member lease after a *confirmed renewal*. A renewal is
+confirmed once the lease is renewed, a commit with conditions but no writes has shown that the epoch and the member key
+are as this controller knows them, and the watch has reached the revision of that commit.
 """
 
 from __future__ import annotations
@@ -25,24 +25,25 @@
 
 log = logging.getLogger(__name__)
 
-#: Bits of a fencing token below the epoch number.
+#: The low bits of a fencing token are a counter within the epoch; the bits above them are the epoch number.
 TOKEN_BITS = 24
-#: Minimum time before an epoch that only moves machines, so that many moves share one epoch.
+#: Minimum time from one epoch to the next if the next one only moves machines, so that many moves share one epoch.
 MIN_MOVE_EPOCH_INTERVAL = timedelta(seconds=1.5)
-#: A renewal unconfirmed for this long is logged as a lagging watch.
+#: If the watch has not confirmed a renewal after this time, its lag is logged.
 WATCH_LAG_WARNING = timedelta(seconds=2.5)
-#: A move request that has not been granted after this time is dropped; it has to be made again.
+#: A move request is dropped if its machine has not been moved after this time; it can be made again.
 MOVE_REQUEST_TTL = timedelta(seconds=5)
-#: With each new epoch no controller is active until the watch has delivered it. A gap up to this length does not count
-#: as an interruption, as no information is lost in it.
+#: At each new epoch, a controller is inactive until its watch has delivered the epoch. An inactive period up to this
+#: length does not interrupt the active time (see ``active_for``), since no update is lost in it.
 MAX_INACTIVE_GAP = timedelta(seconds=1)
+#: Minimum time between opening one watch and the next.
 MIN_WATCH_INTERVAL = timedelta(milliseconds=100)
 #: Maximum fraction of a controller's request budget that is spent on watches.
-WATCH_REQUEST_SHARE = 1 / 5
+WATCH_REQUEST_FRACTION = 1 / 5
 
 
 class Membership:
-    """Joins this controller to the group, keeps its membership, and proposes new epochs."""
+    """Joins this controller to the group, maintains its membership, and proposes new epochs."""
 
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
@@ -57,10 +58,11 @@
         self.incarnation: int | None = None
         self.epoch_seen_at = timedelta()
         self.epoch_change_pending = False
-        #: Whether the current epoch directly follows the last one seen, with the same incarnation of this controller.
+        #: Whether the current epoch directly follows the last one seen here, so that none was missed, and has this
+        #: controller in the same incarnation.
         self.epoch_continuous = False
         self._epoch_incarnation: int | None = None
-        #: Until when this controller may act, and when the renewal behind that was sent.
+        #: Until when this controller may act, and when the latest confirmed renewal was sent.
         self.active_until = timedelta(days=-1)
         self.renewed_at = timedelta(days=-1)
         self._newest_epoch = -1
@@ -73,7 +75,7 @@
         self._next_watch_at = timedelta()
         self._epoch_outdated_since: timedelta | None = None
         self._last_seen_epoch = -1
-        #: Machines requested by this controller, with their owner at that time and when they were requested.
+        #: Machines that this controller requests to own, with their owner and the time at the request.
         self._move_requests: dict[str, tuple[str | None, timedelta]] = {}
 
     # Queries -------------------------------------------------------------------------------------------------
@@ -101,21 +103,22 @@
         return active
 
     def active_for(self, duration: timedelta) -> bool:
-        """Whether this controller has been active for this duration, ignoring the short gap at each new epoch.
+        """Whether this controller has been active for this duration, not counting gaps up to ``MAX_INACTIVE_GAP``.
 
-        When each new epoch counted as an interruption, the first machine that moved away from an owner which its
-        workers could not reach blocked all other moves for six seconds, and some machines were lost when their leases
-        expired.
+        Controllers request moves only after they have been active for some time. When each new epoch interrupted the
+        active time, the first machine that was moved away from an owner that machines could not reach delayed the moves
+        of all others by six seconds, and the leases of some of them expired.
         """
         return self.is_active() and self.context.now - self._active_since >= duration
 
     def _may_act_now(self) -> bool:
-        # A direct read may deliver the epoch before the changes that precede it. Acting on that mix could restart an
-        # attempt whose exit a former owner has committed, so the watch must have reached the epoch.
+        # A direct read may deliver the epoch record before the watch delivers the changes that precede it. Acting on
+        # such an inconsistent state could restart an attempt whose exit a former owner has committed, so the watch must
+        # have reached the epoch.
         return self.caught_up() and self.context.now < self.active_until
 
     def caught_up(self) -> bool:
-        """Whether this controller is a member and its cluster state has reached the current epoch."""
+        """Whether this controller is a member, and its cluster state includes all changes up to the current epoch."""
         return (
             self.context.records_loaded
             and self.is_member()
@@ -123,7 +126,7 @@
         )
 
     def newest_epoch(self) -> int:
-        """The highest epoch number ever known here; it survives reloading the records."""
+        """The highest epoch number ever known here; reloading the records does not reset it."""
         if self.cluster_state.epoch is not None:
             self._newest_epoch = max(self._newest_epoch, self.cluster_state.epoch.number)
         return self._newest_epoch
@@ -140,12 +143,12 @@
         """The first fencing token of the current epoch."""
         return 0 if self.cluster_state.epoch is None else self.cluster_state.epoch.number << TOKEN_BITS
 
-    def request_move(self, machine: str) -> None:
-        """Request in the next epoch a machine that only this controller can reach."""
-        self._move_requests[machine] = (self.owner(machine), self.context.now)
+    def request_move(self, machine_id: str) -> None:
+        """Request that the next epoch moves a machine, which only this controller can reach, to this controller."""
+        self._move_requests[machine_id] = (self.owner(machine_id), self.context.now)
 
     def _prune_move_requests(self) -> None:
-        """Drop move requests that have expired or whose machine has changed its owner."""
+        """Drop move requests that have expired or whose machine has changed owners."""
         self._move_requests = {
             name: (owner, since)
             for name, (owner, since) in self._move_requests.items()
@@ -162,9 +165,9 @@
             return
         if not self._watch_open and context.now >= self._next_watch_at:
             self._watch_open = True
-            # Changes within a tenth of a second are delivered together: waking the process for each watch result costs
-            # more than processing its contents.
-            self._next_watch_at = context.now + context.min_interval(WATCH_REQUEST_SHARE, MIN_WATCH_INTERVAL)
+            # The interval lets one watch result deliver several changes. Waking the process for each result costs more
+            # than processing its contents.
+            self._next_watch_at = context.now + context.min_interval(WATCH_REQUEST_FRACTION, MIN_WATCH_INTERVAL)
             context.state_requests.try_take(context.now)
             context.emit(StartWatch(self.cluster_state.revision))
         if self.lease_id is None:
@@ -184,13 +187,13 @@
         return True
 
     def handle_watch_result(self, event: WatchResult) -> None:
-        """Apply the changes, or start over if some were missed."""
+        """Apply the changes, or reload all records if some were missed."""
         self._watch_open = False
         if event.gap:
             # Changes were missed, so read all records again and rejoin with a new incarnation, as after a restart.
-            # What was known about machines and exits is lost as well. If the epoch stayed the same, an attempt whose
-            # exit was already reported to its home controller could be started again, and machines whose token had been
-            # raised would be rejected until the next epoch.
+            # Rejoining causes a new epoch, which is needed because what was known about machines and exits is lost as
+            # well. In the same epoch, an attempt whose exit was already reported to its job's home controller could be
+            # started again, and reports of machines whose fencing token had been raised would be rejected.
             log.error(
                 "watch: changes after revision %d were missed, reloading all records", self.cluster_state.revision
             )
@@ -260,7 +263,7 @@
         self.context.call_state("POST", wire.COMMIT_PATH, wire.encode(txn), on_result, writes=1, urgent=True)
 
     def _reload_key(self, key: str) -> None:
-        """Read a key whose state is uncertain."""
+        """Read a key whose current version is not known here, after a failed commit or one with an unknown outcome."""
 
         def on_result(status: int, body: bytes) -> None:
             if status == 200:
@@ -276,12 +279,12 @@
         self.context.call_state("GET", wire.key_path(key), None, on_result, urgent=True)
 
     def refresh_epoch(self) -> None:
-        """Read the epoch without waiting for the watch, after a commit failed on it."""
+        """Read the epoch without waiting for the watch, after a commit failed because of it."""
         if self._may_attempt("epoch"):
             self._reload_key(rec.EPOCH)
 
     def _renew(self) -> None:
-        """Renew the lease and check that the epoch and the member key are unchanged."""
+        """Renew the lease, and check by a commit without writes that the epoch and the member key are unchanged."""
         if not self._may_attempt("renew"):
             return
         context, sent_at, lease_id = self.context, self.context.now, self.lease_id
@@ -318,7 +321,7 @@
         context.call_state("POST", wire.COMMIT_PATH, wire.encode(txn), on_checked, urgent=True)
 
     def _confirm_renewals(self) -> None:
-        """Confirm renewals once the cluster state has reached the revision of their check."""
+        """Confirm the pending renewals whose check commit has a revision that the cluster state has reached."""
         unconfirmed = []
         for sent_at, check_revision in self._pending_renewals:
             if check_revision <= self.cluster_state.revision:
@@ -331,13 +334,14 @@
             log.info("the watch has not reached revision %d yet", unconfirmed[0][1])
 
     def detect_epoch_change(self) -> None:
-        """Follow a new epoch in the cluster state and flag the change."""
+        """Apply a new epoch from the cluster state to the assignment and the budgets, and flag the change."""
         epoch = self.cluster_state.epoch
         number = -1 if epoch is None else epoch.number
         if number == self._last_seen_epoch:
             return
         own_incarnation = None if epoch is None else epoch.members.get(self.context.name)
-        # If the flag is still set, the epoch changed again before it was handled: that counts as a missed epoch.
+        # If the flag is still set, the epoch has changed again before the last change was handled. That counts as a
+        # missed epoch.
         self.newest_epoch()
         self.epoch_continuous = (
             not self.epoch_change_pending
@@ -351,14 +355,14 @@
         self.assignment.apply_epoch(epoch)
         if epoch is not None:
             self.context.divide_budgets(len(epoch.members), epoch.leader == self.context.name)
-            # Requests stay until their machine has moved. When each epoch dropped them, two controllers that took over
-            # machines from a third kept displacing each other's requests until a machine lease expired.
+            # A request is kept until its machine has moved. When each new epoch dropped all requests, two controllers
+            # that took over machines from a third kept cancelling each other's requests until a machine lease expired.
             self._prune_move_requests()
             log.info("epoch %d: leader %s, members %s, %d machines moved",
                      epoch.number, epoch.leader, ",".join(sorted(epoch.members)), len(epoch.moved))  # fmt: skip
 
     def _propose_epoch(self) -> None:
-        """Write the next epoch if the member keys differ from the current one, or machines are to move."""
+        """Write the next epoch if the member keys differ from the current epoch, or machines are to be moved."""
         context, cluster_state, epoch = self.context, self.cluster_state, self.cluster_state.epoch
         own_record = cluster_state.members.get(context.name)
         if self.incarnation is None or own_record is None or own_record.incarnation != self.incarnation:
--- a/src/gladecroft/coordination/membership/record_loader.py
+++ b/src/gladecroft/coordination/membership/record_loader.py
@@ -1,4 +1,4 @@
-"""Reads all records from the state service into the cluster state at startup."""
+"""Loads the records from the state service into the cluster state, at startup and after missed changes."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 log = logging.getLogger(__name__)
 
+#: Records per page of the listing.
 PAGE_SIZE = 400
-#: Sorts after the keys of all final states: job ids end in digits.
+#: Sorts after the keys of all final records, since job ids end in digits.
 AFTER_FINALS = rec.FINALS + "~"
-#: Marks the end of the listing as a page position.
+#: Page position after the last page of the listing; only the epoch is left to read.
 END_OF_LISTING = "~"
 
 
@@ -30,7 +31,7 @@
         self._next_request_at = timedelta(days=-1)
 
     def restart(self) -> None:
-        """Begin again at the first page."""
+        """Start again with the first page."""
         self._page_after = None
 
     def _may_request(self) -> bool:
@@ -41,11 +42,12 @@
         return True
 
     def load(self) -> None:
-        """Request the next page of records. The watch later continues from the revision of the first page.
+        """Request the next page of records, or the epoch after the last page.
 
-        The final states of jobs are kept forever and would make each startup slower than the one before, so they are
-        skipped and read on demand. The epoch's key sorts before them and is read separately, last; a change to it after
-        the first page's revision is also delivered by the watch.
+        The watch later continues from the revision of the first page. Final records are kept forever, and reading them
+        would make each startup slower than the one before, so the listing starts after them; they are read on demand.
+        The key of the epoch sorts before them, so the epoch is read separately at the end. If it is changed after the
+        first page was read, the watch delivers the change as well.
         """
         if not self._may_request():
             return
--- a/src/gladecroft/coordination/operator_commands.py
+++ b/src/gladecroft/coordination/operator_commands.py
@@ -1,4 +1,4 @@
-"""Operator commands to policies. A command is answered once it has been committed."""
+"""Operator commands for cordons. The reply to a command is sent once its change is committed."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 
 from gladecroft.bookkeeping import records as rec
-from gladecroft.bookkeeping.records import MachineUse
+from gladecroft.bookkeeping.records import MachineLifecycle
 from gladecroft.coordination.context import ControllerContext
 from gladecroft.coordination.events import IncomingRequest
 from gladecroft.coordination.membership import Membership
@@ -16,7 +16,7 @@
 from gladecroft.policies.interface import MachineAttributes
 from gladecroft.protocol import operators, wire
 
-#: How long a command may wait for its commit. The service times requests out after 4.5 s.
+#: How long a command may wait for its commit; less than the 4.5 s after which the service times out its request.
 COMMIT_TIMEOUT = timedelta(seconds=4)
 
 
@@ -28,7 +28,7 @@
         self.cluster_state = context.cluster_state
         self.membership = membership
         self.state_writer = state_writer
-        #: By record key: the request id of the command that waits for its commit, and when it came.
+        #: By record key: the request id of the command whose commit is pending, and when the command arrived.
         self._pending: dict[str, tuple[int, timedelta]] = {}
 
     def _cordon_policy(self) -> cordon.CordonPolicy | None:
@@ -57,11 +57,11 @@
         self.context.reply(request.request_id, 200, wire.encode(operators.CordonList(cordons)))
 
     def _count_cordoned(self, record: cordon.CordonRecord) -> int:
-        """Number of existing machines that a cordon covers."""
+        """Count the machines that a cordon covers, without those returned to the cloud."""
         return sum(
             record.matches(MachineAttributes.from_pool(name, machine.pool))
             for name, machine in self.cluster_state.machines.items()
-            if machine.use is not MachineUse.RETURNED
+            if machine.lifecycle is not MachineLifecycle.RETURNED
         )
 
     def change_cordon(self, request: IncomingRequest) -> None:
@@ -81,18 +81,18 @@
         if 0 < command.until_s <= context.wall_time.timestamp() and not command.lift:
             context.reply_error(request.request_id, 422, "the cordon would be over already")
             return
-        name = cordon.record_name(command.scope, command.name)
-        if command.lift and name not in policy.records:
+        record_name = cordon.record_name(command.scope, command.name)
+        if command.lift and record_name not in policy.records:
             context.reply_error(request.request_id, 404, f"there is no cordon of {command.scope.value} {command.name}")
             return
-        if not command.lift and name not in policy.records and not self._has_room(policy):
+        if not command.lift and record_name not in policy.records and not self._has_room_for_cordon(policy):
             context.reply_error(
                 request.request_id,
                 422,
                 f"there are {cordon.MAX_CORDONS} cordons already: lift some, or shut a whole type",
             )
             return
-        key = rec.policy_key(policy.subject, name)
+        key = rec.policy_key(policy.subject, record_name)
         superseded = self._pending.pop(key, None)
         if superseded is not None:
             context.reply_error(superseded[0], 409, "another order for it has come meanwhile")
@@ -107,8 +107,8 @@
 
         self.state_writer.policy_writes[key] = PolicyWrite(value, context.now, on_commit)
 
-    def _has_room(self, policy: cordon.CordonPolicy) -> bool:
-        """Whether another cordon can be stored. Schedules the deletion of expired ones."""
+    def _has_room_for_cordon(self, policy: cordon.CordonPolicy) -> bool:
+        """Whether the limit on cordons allows another one. Also schedules the deletion of expired ones."""
         for name in [name for name, record in policy.records.items() if record.is_expired(self.context.wall_time)]:
             key = rec.policy_key(policy.subject, name)
             self.state_writer.policy_writes.setdefault(key, PolicyWrite(None, self.context.now, lambda: None))
@@ -117,8 +117,8 @@
     def tick(self) -> None:
         """Time out commands that were not committed in time.
 
-        Such a command may still have been committed, or be committed later, if the outcome of its commit is unknown;
-        the reply says so.
+        The outcome of a commit may be unknown, so such a command may have been committed, or be committed later. The
+        reply says so.
         """
         for key, (request_id, since) in list(self._pending.items()):
             if self.context.now - since > COMMIT_TIMEOUT or self.context.state_down():
--- a/src/gladecroft/coordination/scheduling/gang_scheduler.py
+++ b/src/gladecroft/coordination/scheduling/gang_scheduler.py
@@ -25,7 +25,7 @@
 
 
 class GangScheduler:
-    """Places gangs: jobs whose tasks run only all together."""
+    """Places gangs: jobs whose tasks must all run at the same time."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         candidate_cache: CandidateCache,
         selector: MachineSelector,
         evictor: Evictor,
-        writer: PlacementWriter,
+        placement_writer: PlacementWriter,
         set_wait_reason: Callable[[str, str], None],
     ) -> None:
         self.context = context
@@ -43,95 +43,98 @@
         self.candidate_cache = candidate_cache
         self.selector = selector
         self.evictor = evictor
-        self.writer = writer
+        self.placement_writer = placement_writer
         self.set_wait_reason = set_wait_reason
 
-    def place(self, txn: TransactionBuilder, job: Job, guaranteed: bool, home: str, max_tasks: int) -> int:
+    def place(self, txn: TransactionBuilder, job: Job, uses_guarantee: bool, home: str, max_tasks: int) -> int:
         """Place all of a gang's tasks in one transaction, or none.
 
-        Other tasks are evicted for it only if the whole gang then fits. Returns how many tasks were placed or had
-        capacity reserved for them in this round.
+        Other tasks are evicted only if the whole gang fits afterwards. ``home`` is the gang's home controller, which
+        alone places it; if it is another one, capacity is only reserved in this round. Returns how many tasks were
+        placed or had capacity reserved for them.
         """
-        tasks = list(job.queued_numbers())
-        if len(tasks) + job.done_count < job.spec.tasks:
+        task_numbers = list(job.queued_task_numbers())
+        if len(task_numbers) + job.done_count < job.spec.tasks:
             self.set_wait_reason(job.id, "waiting for the rest of the gang to stop")
             return 0
-        if len(tasks) > min(txn.remaining_team_tasks(job), max_tasks):
+        if len(task_numbers) > min(txn.remaining_team_tasks(job), max_tasks):
             self.set_wait_reason(job.id, "the team's limit leaves no room for the whole gang")
             return 0
-        request = task_request(job, guaranteed, home)
+        request = task_request(job, uses_guarantee, home)
         candidates = self.candidate_cache.candidates
         usable = self.candidate_cache.usable(job)
-        snapshots = {candidate.machine: candidate.snapshot() for candidate in usable}
-        offers, must_wait = self._find_offers(job, request, len(tasks), usable)
+        snapshots = {candidate.machine_id: candidate.snapshot() for candidate in usable}
+        offers, must_wait = self._find_offers(job, request, len(task_numbers), usable)
         for offer in offers:
-            self.candidate_cache.mark_planned(offer.candidate)
-        if len(offers) < len(tasks):
-            for name, snapshot in snapshots.items():
-                candidates[name].restore(snapshot)
+            self.candidate_cache.invalidate(offer.candidate)
+        if len(offers) < len(task_numbers):
+            for machine_id, snapshot in snapshots.items():
+                candidates[machine_id].restore(snapshot)
             for offer in offers:
                 for victim in offer.victims:
                     victim.stopping = False
             self.set_wait_reason(job.id, "no room for the whole gang")
             return 0
         if home != self.context.name:
-            return len(tasks)
+            return len(task_numbers)
         if not self.state_writer.holds_claim(job.spec.team):
             self.set_wait_reason(job.id, "about to be placed")
-            return len(tasks)
+            return len(task_numbers)
         if must_wait:
             self.set_wait_reason(job.id, "waiting for evicted work to stop")
             victims = [victim for offer in offers for victim in offer.victims]
             stopped = sum(
                 self.evictor.stop_task_or_gang(
-                    txn, self.cluster_state.jobs[victim.job], victim.number, f"evicted for {job.id}"
+                    txn, self.cluster_state.jobs[victim.job_id], victim.task_number, f"evicted for {job.id}"
                 )
                 for victim in victims
             )
             if stopped:
                 log.info("%s evicts %d tasks", job.id, stopped)
-            return len(tasks)
-        chunks = len({number // job.chunk_size for number in tasks})
-        machines = {offer.candidate.machine for offer in offers}
-        not_owned = len({offer.candidate.machine for offer in offers if not offer.candidate.owned})
-        # If the transaction can't hold writes of all machine records, it is only conditional on them.
-        write_machine_records = txn.has_room(chunks + not_owned, 1, len(machines))
-        if not write_machine_records and not txn.has_room(chunks, 1, len(machines)):
+            return len(task_numbers)
+        chunk_count = len({task_number // job.chunk_size for task_number in task_numbers})
+        machine_ids = {offer.candidate.machine_id for offer in offers}
+        not_owned_count = len({offer.candidate.machine_id for offer in offers if not offer.candidate.owned})
+        # If writes of all machine records do not fit into the transaction, it only requires their known versions.
+        write_machine_records = txn.has_room(chunk_count + not_owned_count, 1, len(machine_ids))
+        if not write_machine_records and not txn.has_room(chunk_count, 1, len(machine_ids)):
             self.set_wait_reason(job.id, "about to be placed")
-            return len(tasks)
+            return len(task_numbers)
         self.set_wait_reason(job.id, "")
-        for number, offer in zip(tasks, offers, strict=True):
-            self.writer.write(txn, job, number, txn.task(job, number), offer.candidate, write_machine_records)
-        return len(tasks)
+        for task_number, offer in zip(task_numbers, offers, strict=True):
+            self.placement_writer.write(
+                txn, job, task_number, txn.task(job, task_number), offer.candidate, write_machine_records
+            )
+        return len(task_numbers)
 
     def _find_offers(
         self, job: Job, request: TaskRequest, count: int, candidates: list[Candidate]
     ) -> tuple[list[Offer], bool]:
-        """Find an offer for each task and reserve its capacity, until one finds none.
+        """Find an offer for each task and reserve its capacity; end at the first task without an offer.
 
-        Returns the offers, and whether any of them must wait for running tasks to stop.
+        Returns the offers found, and whether any of them must wait for other tasks to stop.
         """
-        zones, cap = zone_counts_and_cap(self.cluster_state, job)
-        usable = restrict_to_one_zone(candidates, zones) if job.spec.one_zone else candidates
+        tasks_by_zone, max_per_zone = zone_counts_and_cap(self.cluster_state, job)
+        usable = restrict_to_one_zone(candidates, tasks_by_zone) if job.spec.one_zone else candidates
         offers: list[Offer] = []
         must_wait = False
         while len(offers) < count:
-            open_candidates = [candidate for candidate in usable if zones.get(candidate.zone, 0) < cap]
+            open_candidates = [candidate for candidate in usable if tasks_by_zone.get(candidate.zone, 0) < max_per_zone]
             sort_key = (
-                self.selector.high_priority.sort_key
-                if request.rank <= self.candidate_cache.priority_line
-                else self.selector.low_priority.sort_key
+                self.selector.high_priority_placer.sort_key
+                if request.rank <= self.candidate_cache.max_high_priority_rank
+                else self.selector.low_priority_placer.sort_key
             )
             offer = self.selector.select(request, Ranking(request, open_candidates, sort_key), open_candidates)
             if offer is None:
                 break
             if offer.candidate.fits(request):
-                offer.candidate.allocate(request, self.candidate_cache.priority_line)
+                offer.candidate.allocate(request, self.candidate_cache.max_high_priority_rank)
             else:
                 must_wait = True
                 for victim in offer.victims:
                     offer.candidate.mark_stopping(victim)
                 reserve(offer.candidate, request)
-            zones[offer.candidate.zone] = zones.get(offer.candidate.zone, 0) + 1
+            tasks_by_zone[offer.candidate.zone] = tasks_by_zone.get(offer.candidate.zone, 0) + 1
             offers.append(offer)
         return offers, must_wait
--- a/src/gladecroft/coordination/scheduling/pending_queue.py
+++ b/src/gladecroft/coordination/scheduling/pending_queue.py
@@ -1,10 +1,15 @@
 """The queue of pending jobs in scheduling order, kept between rounds.
 
-Jobs that compete for the same machines share a *subqueue*. A round merges the subqueues by priority. Once a subqueue's
-smallest job is known not to fit, the subqueue is closed and the rest of it is skipped. Only jobs that have changed, or
-whose precedence changes with time, are moved. So the cost of a round grows with the number of subqueues and of
-placements, not with the number of pending jobs; visiting all of them took two thirds of a controller's time under a
-large backlog.
+Jobs of one team and class that have the same priority and the same constraints on machines share a *subqueue*. A
+*scheduling round* is one pass over the pending jobs, which merges the subqueues. Jobs are taken by the tier of their
+subqueue (see ``admission.tiers``; all equal except in an overload), then by its ``priority_key``, then by their own
+position: the job's precedence, sort value (see ``JobOrdering.precedence``) and id. A job is *overdue* if too few of its
+tasks have been placed within ``ordering.START_DEADLINE_S``; it comes before jobs of every priority in its tier.
+
+Once a subqueue's smallest job is known not to fit, the subqueue is closed and the rest of it is skipped. Only jobs that
+have changed, or whose precedence changes with time, are moved. So the cost of a round grows with the number of
+subqueues and of placements, not with the number of pending jobs; visiting all of them took two thirds of a controller's
+time under a large backlog.
 """
 
 from __future__ import annotations
@@ -22,14 +27,17 @@
 from gladecroft.policies import PolicyEngine
 from gladecroft.protocol.wire import JobKind
 
-#: Sort key of a job in its subqueue: its precedence, its work in core-seconds (time of acceptance if overdue), its id.
+#: Sort key of a job in its subqueue: precedence, sort value (see ``JobOrdering.precedence``) and job id.
 QueuePosition = tuple[int, float, str]
-#: Cores, GPUs and memory of a task, and the job's id.
-TaskSize = tuple[float, float, float, str]
+#: Sort key of a job by the size of its tasks: cores, GPUs and GB of memory of one task, and job id as tie-breaker.
+SizeKey = tuple[float, float, float, str]
 
 
 class SubQueue:
-    """Jobs of one team and class with the same priority and the same constraints on machines."""
+    """Jobs of one team and class that have the same priority and the same constraints on machines.
+
+    They also agree in whether they are overdue and whether they use their team's guarantee.
+    """
 
     __slots__ = (
         "key",
@@ -37,8 +45,8 @@
         "uses_guarantee",
         "overdue",
         "priority_key",
-        "order",
-        "sizes",
+        "positions",
+        "size_keys",
         "close_reason",
         "closed_in_round",
     )
@@ -48,10 +56,10 @@
         self.group = (job.spec.team, job.spec.job_class)
         self.uses_guarantee = uses_guarantee
         self.overdue = overdue
-        #: Overdue jobs come first whatever their priority, then jobs that use their team's guarantee, then by priority.
+        #: Sort key: overdue jobs first, then jobs that use their team's guarantee by priority, then others by priority.
         self.priority_key = (0, False, 0) if overdue else (1, not uses_guarantee, job.priority_rank)
-        self.order: SortedList[QueuePosition] = SortedList()
-        self.sizes: SortedList[TaskSize] = SortedList()
+        self.positions: SortedList[QueuePosition] = SortedList()
+        self.size_keys: SortedList[SizeKey] = SortedList()
         #: Why the subqueue was last closed, and in which round.
         self.close_reason = ""
         self.closed_in_round = -1
@@ -62,8 +70,8 @@
 
     subqueue: SubQueue
     position: QueuePosition
-    size: TaskSize
-    #: Wall-clock time at which its position may change if the job itself does not.
+    size_key: SizeKey
+    #: Wall-clock time in seconds at which the position must be recomputed even if the job is unchanged; inf: never.
     reorder_at_s: float
 
 
@@ -76,8 +84,8 @@
         self.cluster_state = cluster_state
         self.policy_engine = policy_engine
         self.ordering = ordering
-        self.rounds = 0
-        self._seen_resets = -1
+        self.round_number = 0
+        self._seen_reset_count = -1
         self._subqueues: dict[tuple[Any, ...], SubQueue] = {}
         self._entries: dict[str, QueueEntry] = {}
         self._reorder_heap: list[tuple[float, str]] = []
@@ -85,22 +93,28 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def refresh(self, now: float) -> None:
-        """Update the positions of jobs that changed or whose precedence changes by ``now`` (wall-clock seconds)."""
+    def refresh(self, now_wall_s: float) -> None:
+        """Update the positions of jobs that changed, or whose precedence may have changed with time.
+
+        ``now_wall_s`` is the wall-clock time in seconds.
+        """
         cluster_state = self.cluster_state
-        guaranteed = cluster_state.guaranteed_jobs()
-        if self._seen_resets != cluster_state.reset_count:
-            self._seen_resets = cluster_state.reset_count
+        guaranteed_job_ids = cluster_state.guaranteed_job_ids()
+        if self._seen_reset_count != cluster_state.reset_count:
+            self._seen_reset_count = cluster_state.reset_count
             self._subqueues.clear()
             self._entries.clear()
             self._reorder_heap.clear()
             cluster_state.dirty_jobs.update(cluster_state.queued_jobs)
         changed, cluster_state.dirty_jobs = cluster_state.dirty_jobs, set()
-        while self._reorder_heap and self._reorder_heap[0][0] <= now:
+        while self._reorder_heap and self._reorder_heap[0][0] <= now_wall_s:
             changed.add(heapq.heappop(self._reorder_heap)[1])
         for job_id in changed:
             job = cluster_state.queued_jobs.get(job_id)
-            self._update(job_id, job, job is not None and self.ordering.uses_guarantee(job, guaranteed), now)
+            self._update(
+                job_id, job, job is not None and self.ordering.uses_guarantee(job, guaranteed_job_ids), now_wall_s
+            )
+        # Rebuilds the heap when most of its elements are outdated: jobs that were moved or removed stay in it.
         if len(self._reorder_heap) > 4 * len(self._entries) + 100:
             self._reorder_heap = [
                 (entry.reorder_at_s, job_id)
@@ -109,19 +123,19 @@
             ]
             heapq.heapify(self._reorder_heap)
 
-    def _update(self, job_id: str, job: Job | None, uses_guarantee: bool, now: float) -> None:
+    def _update(self, job_id: str, job: Job | None, uses_guarantee: bool, now_wall_s: float) -> None:
         entry = self._entries.get(job_id)
         if job is None:
             if entry is not None:
                 self._remove(entry)
                 del self._entries[job_id]
             return
-        precedence, work, reorder_at_s = self.ordering.precedence(job)
+        precedence, sort_value, reorder_at_s = self.ordering.precedence(job)
         overdue = precedence == OVERDUE
         key = subqueue_key(
             job, uses_guarantee, self.policy_engine is not None and self.policy_engine.is_job_specific(), overdue
         )
-        position = (precedence, work, job_id)
+        position = (precedence, sort_value, job_id)
         if entry is not None:
             if entry.subqueue.key == key and entry.position == position and entry.reorder_at_s == reorder_at_s:
                 return
@@ -130,29 +144,31 @@
         if subqueue is None:
             subqueue = self._subqueues[key] = SubQueue(key, job, uses_guarantee, overdue)
         spec = job.spec
-        size = (spec.cpus, spec.gpus, spec.memory_gb, job_id)
-        self._entries[job_id] = QueueEntry(subqueue, position, size, reorder_at_s)
-        subqueue.order.add(position)
-        subqueue.sizes.add(size)
+        size_key = (spec.cpus, spec.gpus, spec.memory_gb, job_id)
+        self._entries[job_id] = QueueEntry(subqueue, position, size_key, reorder_at_s)
+        subqueue.positions.add(position)
+        subqueue.size_keys.add(size_key)
         if reorder_at_s < float("inf"):
-            # A time that has passed already is handled in the next round, so that this one ends.
-            heapq.heappush(self._reorder_heap, (max(reorder_at_s, now + 1e-3), job_id))
+            # A time in the past becomes 1 ms from now, so that another refresh at the same time leaves the job alone.
+            heapq.heappush(self._reorder_heap, (max(reorder_at_s, now_wall_s + 1e-3), job_id))
 
     def _remove(self, entry: QueueEntry) -> None:
         subqueue = entry.subqueue
-        subqueue.order.remove(entry.position)
-        subqueue.sizes.remove(entry.size)
-        if not subqueue.order:
+        subqueue.positions.remove(entry.position)
+        subqueue.size_keys.remove(entry.size_key)
+        if not subqueue.positions:
             del self._subqueues[subqueue.key]
 
-    def start_round(self, tier: Callable[[SubQueue], int] | None = None) -> SchedulingRound:
+    def start_round(self, tier_of: Callable[[SubQueue], int] | None = None) -> SchedulingRound:
         """Begin a scheduling round over the queue as of the last ``refresh``.
 
-        ``tier`` gives a subqueue's tier, which is compared before its priority, lowest first. It may rise during the
-        round.
+        ``tier_of`` returns a subqueue's tier; subqueues of the lowest tier come first, whatever their priority. A tier
+        may rise during the round.
         """
-        self.rounds += 1
-        return SchedulingRound(self.cluster_state.queued_jobs, list(self._subqueues.values()), self.rounds, tier)
+        self.round_number += 1
+        return SchedulingRound(
+            self.cluster_state.queued_jobs, list(self._subqueues.values()), self.round_number, tier_of
+        )
 
     def last_close(self, job: Job) -> tuple[int, str]:
         """Return the round in which the job's subqueue was last closed, and why."""
@@ -160,12 +176,16 @@
         return (-1, "") if entry is None else (entry.subqueue.closed_in_round, entry.subqueue.close_reason)
 
 
-def subqueue_key(job: Job, uses_guarantee: bool, by_job: bool = False, overdue: bool = False) -> tuple[Any, ...]:
-    """Return the key of the subqueue in which a job belongs. ``by_job``: policies treat every job by itself."""
+def subqueue_key(job: Job, uses_guarantee: bool, job_specific: bool = False, overdue: bool = False) -> tuple[Any, ...]:
+    """Return the key of the subqueue to which a job belongs.
+
+    If ``job_specific`` is true, the job gets a subqueue of its own, because policies may allow it other machines than
+    other jobs with the same constraints.
+    """
     spec = job.spec
     job_id = ""
-    if by_job or spec.kind is JobKind.GANG or ((spec.one_zone or spec.spread) and job.placed_count):
-        # The machines it may use depend on where its other tasks are, or on policies that judge jobs individually.
+    if job_specific or spec.kind is JobKind.GANG or ((spec.one_zone or spec.spread) and job.placed_count):
+        # The machines that the job may use depend on where its other tasks are, or on job-specific policies.
         job_id = job.id
     return (
         spec.team,
@@ -183,72 +203,89 @@
 
 
 class SchedulingRound:
-    """One pass over the pending jobs. The queue must not be refreshed during the iteration."""
+    """One pass over the pending jobs; iterating yields each with its subqueue.
+
+    The queue must not be refreshed during the iteration.
+    """
 
     def __init__(
         self,
         jobs: dict[str, Job],
         subqueues: list[SubQueue],
         number: int,
-        tier: Callable[[SubQueue], int] | None = None,
+        tier_of: Callable[[SubQueue], int] | None = None,
     ) -> None:
         self._jobs = jobs
         self.number = number
-        self._tier = tier
-        self._closed: set[int] = set()
-        #: By subqueue: task sizes for which no machine had capacity.
-        self._infeasible: dict[int, list[TaskSize]] = {}
-        #: Heap with the next job of each open subqueue, and the offset of that job in it.
+        self._tier_of = tier_of
+        #: ``id()`` of the subqueues of which the rest is skipped.
+        self._skipped_ids: set[int] = set()
+        #: By ``id()`` of the subqueue: task sizes for which no machine had capacity.
+        self._unschedulable: dict[int, list[SizeKey]] = {}
+        #: Heap of the subqueues that are not skipped. An element consists of tier, priority key, position of the
+        #: subqueue's next job, index of that position in the subqueue, index of the subqueue (unique, so that subqueues
+        #: are never compared) and the subqueue.
         self._heads = [
-            (0 if tier is None else tier(subqueue), subqueue.priority_key, subqueue.order[0], 0, index, subqueue)
+            (
+                0 if tier_of is None else tier_of(subqueue),
+                subqueue.priority_key,
+                subqueue.positions[0],
+                0,
+                index,
+                subqueue,
+            )
             for index, subqueue in enumerate(subqueues)
         ]
         heapq.heapify(self._heads)
 
     def __iter__(self) -> Iterator[tuple[Job, SubQueue]]:
-        heads, tier = self._heads, self._tier
+        heads, tier_of = self._heads, self._tier_of
         while heads:
             popped_tier, priority_key, position, offset, index, subqueue = heapq.heappop(heads)
-            if tier is not None:
-                current_tier = tier(subqueue)
-                if current_tier > popped_tier:  # placements of this round have used up its lower tier
+            if tier_of is not None:
+                current_tier = tier_of(subqueue)
+                if current_tier > popped_tier:  # placements in this round have raised the tier
                     heapq.heappush(heads, (current_tier, priority_key, position, offset, index, subqueue))
                     continue
             yield self._jobs[position[2]], subqueue
-            if id(subqueue) in self._closed:
+            if id(subqueue) in self._skipped_ids:
                 continue
-            infeasible = self._infeasible.get(id(subqueue))
-            for following, position in enumerate(subqueue.order.islice(offset + 1), offset + 1):
-                if infeasible is None or not self._known_infeasible(self._jobs[position[2]], infeasible):
-                    heapq.heappush(heads, (popped_tier, priority_key, position, following, index, subqueue))
+            unschedulable = self._unschedulable.get(id(subqueue))
+            for next_offset, position in enumerate(subqueue.positions.islice(offset + 1), offset + 1):
+                if unschedulable is None or not self._is_unschedulable(self._jobs[position[2]], unschedulable):
+                    heapq.heappush(heads, (popped_tier, priority_key, position, next_offset, index, subqueue))
                     break
 
     @staticmethod
-    def _known_infeasible(job: Job, infeasible: list[TaskSize]) -> bool:
+    def _is_unschedulable(job: Job, unschedulable: list[SizeKey]) -> bool:
         spec = job.spec
         return any(
-            spec.cpus >= cpus and spec.gpus >= gpus and spec.memory_gb >= memory for cpus, gpus, memory, _ in infeasible
+            spec.cpus >= cpus and spec.gpus >= gpus and spec.memory_gb >= memory
+            for cpus, gpus, memory, _ in unschedulable
         )
 
     def smallest_job(self, subqueue: SubQueue) -> Job:
-        """Return the job of a subqueue with the smallest tasks."""
-        return self._jobs[subqueue.sizes[0][3]]
+        """Return the first job of a subqueue by cores, then GPUs, then memory per task.
+
+        A job with more cores but fewer GPUs or less memory than it is not considered.
+        """
+        return self._jobs[subqueue.size_keys[0][3]]
 
     def close(self, subqueue: SubQueue, reason: str) -> None:
-        """Skip the rest of a subqueue in this round, for a reason that is shown to the users of its jobs."""
+        """Skip the rest of a subqueue in this round, and keep the reason to show it to the users of its jobs."""
         self.skip(subqueue)
         subqueue.close_reason, subqueue.closed_in_round = reason, self.number
 
     def skip(self, subqueue: SubQueue) -> None:
-        """Skip the rest of a subqueue in this round."""
-        self._closed.add(id(subqueue))
+        """Skip the rest of a subqueue in this round without keeping a reason for its users."""
+        self._skipped_ids.add(id(subqueue))
 
-    def mark_infeasible(self, subqueue: SubQueue, job: Job) -> bool:
+    def mark_unschedulable(self, subqueue: SubQueue, job: Job) -> bool:
         """Record that a job found no capacity; jobs of its subqueue with tasks no smaller are skipped in this round.
 
-        Returns whether that goes for every job of the subqueue.
+        Returns whether the subqueue's ``smallest_job`` is one of them, so that the whole subqueue can be closed.
         """
         spec = job.spec
-        infeasible = self._infeasible.setdefault(id(subqueue), [])
-        infeasible.append((spec.cpus, spec.gpus, spec.memory_gb, job.id))
-        return self._known_infeasible(self.smallest_job(subqueue), infeasible)
+        unschedulable = self._unschedulable.setdefault(id(subqueue), [])
+        unschedulable.append((spec.cpus, spec.gpus, spec.memory_gb, job.id))
+        return self._is_unschedulable(self.smallest_job(subqueue), unschedulable)
--- a/src/gladecroft/coordination/scheduling/placement.py
+++ b/src/gladecroft/coordination/scheduling/placement.py
@@ -1,8 +1,11 @@
 """The two cooperating placers, after CoSpot (Iqbal et al., SoCC '22), as pure functions over candidate machines.
 
-For a high-priority task the high-priority placer ranks the machines and offers its top N; the low-priority placer
-chooses the offer with the fewest evictions. The low-priority placer places low-priority tasks by itself, and avoids
-machines with high-priority tasks where it can.
+For a high-priority task the high-priority placer ranks the machines and offers the first N of them; the low-priority
+placer chooses the offer with the fewest evictions. The low-priority placer places low-priority tasks on its own, and
+avoids machines with high-priority tasks where it can. A task has high priority if its rank is at most
+``max_high_priority_rank`` (the operators' setting ``priority.line``); rank 0 is the highest priority.
+
+The home controller places a team's tasks; the owner of a machine is the controller to which the machine reports.
 """
 
 from __future__ import annotations
@@ -20,9 +23,10 @@
 
 
 class TaskRequest(msgspec.Struct, gc=False, frozen=True):
-    """The resources that one task needs, and the rights by which it may evict others.
+    """The resources that one task needs, and the properties that decide which other tasks it may evict.
 
-    ``rank`` is its priority, 0 being the highest; ``home`` is the controller that places it.
+    ``rank`` is the rank of its priority, 0 being the highest; ``home`` is the team's home controller.
+    ``uses_guarantee``: the task is placed on its team's guarantee.
     """
 
     cpus: float
@@ -31,29 +35,33 @@
     image: str
     rank: int
     team: str
-    guaranteed: bool
+    uses_guarantee: bool
     home: str = ""
-    #: Its team and class exceed their fair share in an overload: it may use free capacity only.
+    #: Whether the task may only use free capacity, since its team and class exceed their fair share in an overload.
     non_preempting: bool = False
-    #: (team, class) pairs that use no more than their floor or share in an overload; their tasks are not evicted.
+    #: (team, class) pairs that use no more than their floor or share in an overload; their tasks must not be evicted.
     protected: Container[tuple[str, str]] = ()
 
 
 class PlacedTask(msgspec.Struct, gc=False, eq=False):
-    """A task on a machine. ``stopping``: it has been told to stop and still holds its resources."""
+    """A task on a machine.
+
+    ``within_guarantee``: its job fits into its team's guarantee; otherwise its resources are borrowed.
+    ``stopping``: it has been told to stop and still holds its resources.
+    """
 
-    job: str
-    number: int
+    job_id: str
+    task_number: int
     cpus: float
     gpus: float
     memory_gb: float
     rank: int
     team: str
-    guaranteed: bool
+    within_guarantee: bool
     placed_s: int
     stopping: bool = False
     job_class: str = ""
-    #: Number of tasks that stop if this one is evicted: all placed ones of its gang, else 1.
+    #: Number of tasks that stop if this one is evicted: all placed tasks of its gang; 1 for other jobs.
     gang_size: int = 1
 
 
@@ -63,7 +71,7 @@
     ``owner`` is the controller that owns the machine; ``owned`` says whether that is this controller.
     """
 
-    machine: str
+    machine_id: str
     zone: str
     spot: bool
     owned: bool
@@ -78,20 +86,20 @@
     free_memory_gb: float = 0.0
     #: Cores used by high-priority tasks.
     high_priority_cpus: float = 0.0
-    #: Resources of stopping tasks, which will be free once they have ended.
+    #: Resources of stopping tasks, which become free when the tasks have exited.
     releasing_cpus: float = 0.0
     releasing_gpus: float = 0.0
     releasing_memory_gb: float = 0.0
-    #: Cores of tasks outside their team's guarantee: the most that evictions could free.
+    #: Cores of tasks outside their team's guarantee that are not stopping: the most that evictions could free.
     borrowed_cpus: float = 0.0
     #: Largest rank (lowest priority) of those tasks; -1 if there are none.
     max_borrowed_rank: int = -1
     #: How many more tasks the machine can list in its report.
     remaining_tasks: int = MAX_TASKS_PER_MACHINE
-    #: Score by the policies for the current job; the lower one wins between machines that are otherwise equal.
-    tie_breaker: float = 0.0
+    #: The policies' score for the current job; between machines that are otherwise equal, the lowest score wins.
+    policy_score: float = 0.0
 
-    def recompute(self, priority_line: int) -> None:
+    def recompute(self, max_high_priority_rank: int) -> None:
         """Recompute free, releasing and borrowed capacity and the cores of high-priority tasks from the tasks."""
         self.tasks.sort(key=lambda task: task.placed_s)
         self.borrowed_cpus = 0.0
@@ -102,13 +110,13 @@
             self.free_cpus -= task.cpus
             self.free_gpus -= task.gpus
             self.free_memory_gb -= task.memory_gb
-            if task.rank <= priority_line:
+            if task.rank <= max_high_priority_rank:
                 self.high_priority_cpus += task.cpus
             if task.stopping:
                 self.releasing_cpus += task.cpus
                 self.releasing_gpus += task.gpus
                 self.releasing_memory_gb += task.memory_gb
-            elif not task.guaranteed:
+            elif not task.within_guarantee:
                 self.borrowed_cpus += task.cpus
                 self.max_borrowed_rank = max(self.max_borrowed_rank, task.rank)
         self._set_remaining_tasks(MAX_TASKS_PER_MACHINE - len(self.tasks))
@@ -123,7 +131,7 @@
             self.free_cpus = min(self.free_cpus, -1.0)
 
     def fits(self, request: TaskRequest) -> bool:
-        """Whether the free capacity holds a request."""
+        """Whether a request fits into the free capacity."""
         return (
             request.cpus <= self.free_cpus + EPSILON
             and request.gpus <= self.free_gpus + EPSILON
@@ -131,7 +139,7 @@
         )
 
     def fits_after_release(self, request: TaskRequest) -> bool:
-        """Whether free and releasing capacity together hold a request."""
+        """Whether a request fits into free and releasing capacity together."""
         return (
             request.cpus <= self.free_cpus + self.releasing_cpus + EPSILON
             and request.gpus <= self.free_gpus + self.releasing_gpus + EPSILON
@@ -139,15 +147,15 @@
         )
 
     def may_have_victims(self, request: TaskRequest) -> bool:
-        """Whether the request might be allowed to evict a task here; False is certain, True is not."""
+        """Whether the request may be allowed to evict a task here. False is certain; True is only a possibility."""
         return not request.non_preempting and (
-            self.max_borrowed_rank > request.rank or request.guaranteed and self.max_borrowed_rank >= 0
+            self.max_borrowed_rank > request.rank or request.uses_guarantee and self.max_borrowed_rank >= 0
         )
 
     def add_task(self, task: PlacedTask) -> None:
-        """Add a task that this round has placed."""
+        """Add a task that this round has placed; the free capacity is updated by ``allocate``."""
         self.tasks.append(task)
-        if not task.guaranteed:
+        if not task.within_guarantee:
             self.max_borrowed_rank = max(self.max_borrowed_rank, task.rank)
 
     def mark_stopping(self, victim: PlacedTask) -> None:
@@ -158,25 +166,25 @@
         self.releasing_memory_gb += victim.memory_gb
 
     def snapshot(self) -> tuple[float, ...]:
-        """Return the capacity figures, for ``restore``."""
+        """Return the capacities that a tentative placement changes, for ``restore``."""
         return (
             self.free_cpus, self.free_gpus, self.free_memory_gb, self.high_priority_cpus,
             self.releasing_cpus, self.releasing_gpus, self.releasing_memory_gb,
         )  # fmt: skip
 
     def restore(self, values: tuple[float, ...]) -> None:
-        """Set the capacity figures back to a ``snapshot``."""
+        """Set the capacities back to a ``snapshot``."""
         (
             self.free_cpus, self.free_gpus, self.free_memory_gb, self.high_priority_cpus,
             self.releasing_cpus, self.releasing_gpus, self.releasing_memory_gb,
         ) = values  # fmt: skip
 
-    def allocate(self, request: TaskRequest, priority_line: int) -> None:
+    def allocate(self, request: TaskRequest, max_high_priority_rank: int) -> None:
         """Deduct a request from the free capacity."""
         self.free_cpus -= request.cpus
         self.free_gpus -= request.gpus
         self.free_memory_gb -= request.memory_gb
-        if request.rank <= priority_line:
+        if request.rank <= max_high_priority_rank:
             self.high_priority_cpus += request.cpus
         self.images.add(request.image)
         self._set_remaining_tasks(self.remaining_tasks - 1)
@@ -189,8 +197,8 @@
     victims: list[PlacedTask]
 
     def eviction_count(self) -> int:
-        """Return how many tasks would stop; a gang counts with all its tasks, and once."""
-        gangs = {victim.job: victim.gang_size for victim in self.victims if victim.gang_size > 1}
+        """Return how many tasks would stop. All tasks of a victim's gang count, once per gang."""
+        gangs = {victim.job_id: victim.gang_size for victim in self.victims if victim.gang_size > 1}
         return sum(gangs.values()) + sum(victim.gang_size == 1 for victim in self.victims)
 
 
@@ -199,20 +207,20 @@
 
     A task within its team's guarantee is never evicted.
     """
-    if victim.guaranteed or victim.stopping or request.non_preempting:
+    if victim.within_guarantee or victim.stopping or request.non_preempting:
         return False
     if request.protected and (victim.team, victim.job_class) in request.protected:
         return False
-    return request.rank < victim.rank or (request.guaranteed and victim.team != request.team)
+    return request.rank < victim.rank or (request.uses_guarantee and victim.team != request.team)
 
 
 def select_victims(candidate: Candidate, request: TaskRequest) -> list[PlacedTask] | None:
-    """Select the tasks to evict so that a request fits, earliest placed first; None if no evictions make it fit."""
+    """Select the tasks to evict so that a request fits, earliest placed first; None if it can't be made to fit."""
     cpus = candidate.free_cpus + candidate.releasing_cpus
     if request.cpus > cpus + candidate.borrowed_cpus + EPSILON:
         return None
     if not candidate.may_have_victims(request) and not candidate.fits_after_release(request):
-        return None  # called for each machine and each task that fits nowhere: avoids the loop over the tasks
+        return None  # saves the loop over the tasks, since this runs for each machine if a task fits nowhere
     gpus = candidate.free_gpus + candidate.releasing_gpus
     memory = candidate.free_memory_gb + candidate.releasing_memory_gb
     victims: list[PlacedTask] = []
@@ -220,7 +228,7 @@
         if request.cpus <= cpus + EPSILON and request.gpus <= gpus + EPSILON and request.memory_gb <= memory + EPSILON:
             break
         # Most tasks are within their guarantee; checking that here saves a call for each.
-        if not task.guaranteed and not task.stopping and may_evict(request, task):
+        if not task.within_guarantee and not task.stopping and may_evict(request, task):
             victims.append(task)
             cpus += task.cpus
             gpus += task.gpus
@@ -231,7 +239,7 @@
 
 
 def filter_fitting(request: TaskRequest, candidates: Iterable[Candidate]) -> list[Candidate]:
-    """Return the candidates whose free capacity holds a request.
+    """Return the candidates into whose free capacity a request fits.
 
     Runs over all machines for every pending job, so it compares inline instead of calling ``fits`` for each.
     """
@@ -246,10 +254,10 @@
 
 
 class HighPriorityPlacer:
-    """Ranks machines by the cores that high-priority tasks use, busiest first, and offers the top N.
+    """Ranks machines by the cores that high-priority tasks use there, most first, and offers the first N.
 
-    Machines that the home controller owns come before the others. With the Spot Avoiding Filter (``avoid_evictions``)
-    machines that need evictions are offered only if no machine fits without.
+    Machines that the home controller owns come before the others. With the Spot Avoiding Filter (``avoid_evictions``),
+    machines that need evictions are offered only if the request fits on no other machine.
     """
 
     def __init__(self, max_offers: int, avoid_evictions: bool) -> None:
@@ -258,17 +266,25 @@
 
     @staticmethod
     def sort_key(request: TaskRequest, candidate: Candidate) -> tuple[Any, ...]:
-        """Return the sort key of a candidate: machines owned by the home controller first, then the busiest."""
-        return candidate.owner != request.home, -candidate.high_priority_cpus, candidate.tie_breaker, candidate.machine
+        """Return the sort key of a candidate.
+
+        Machines owned by the home controller come first, then those where high-priority tasks use the most cores.
+        """
+        return (
+            candidate.owner != request.home,
+            -candidate.high_priority_cpus,
+            candidate.policy_score,
+            candidate.machine_id,
+        )
 
     def rank_offers(self, request: TaskRequest, candidates: list[Candidate]) -> list[Offer]:
         """Return the best N offers for a request."""
         fitting = filter_fitting(request, candidates)
         offers = [Offer(candidate, []) for candidate in fitting]
         if not offers or not self.avoid_evictions:
-            fitting_names = {candidate.machine for candidate in fitting}
+            fitting_machine_ids = {candidate.machine_id for candidate in fitting}
             for candidate in candidates:
-                if candidate.machine not in fitting_names:
+                if candidate.machine_id not in fitting_machine_ids:
                     victims = select_victims(candidate, request)
                     if victims:
                         offers.append(Offer(candidate, victims))
@@ -282,9 +298,9 @@
     """Chooses among the high-priority placer's offers, and places low-priority tasks."""
 
     def choose_offer(self, request: TaskRequest, offers: list[Offer]) -> Offer | None:
-        """Choose the offer with the fewest evictions; ties go to a spot machine, a cached image, the placer's order.
+        """Choose the offer with the fewest evictions, then a spot machine, a cached image, then the first offer.
 
-        Spot machines are preferred so that on-demand machines empty and can be returned.
+        Spot machines are preferred so that on-demand machines become empty and can be returned to the cloud.
         """
         if not offers:
             return None
@@ -310,20 +326,20 @@
             candidate.owner != request.home,
             request.image not in candidate.images,
             candidate.free_cpus,
-            candidate.tie_breaker,
-            candidate.machine,
+            candidate.policy_score,
+            candidate.machine_id,
         )
 
     def place(self, request: TaskRequest, candidates: list[Candidate]) -> Offer | None:
-        """Place a low-priority task on the best machine that fits it, else on one where it may evict others."""
+        """Choose the best machine on which a low-priority task fits, else one where it may evict others."""
         fitting = filter_fitting(request, candidates)
         if fitting:
             return Offer(min(fitting, key=lambda candidate: self.sort_key(request, candidate)), [])
         return self.preempt(request, candidates)
 
     def preempt(self, request: TaskRequest, candidates: Iterable[Candidate]) -> Offer | None:
-        """Choose the machine with the fewest evictions; a low-priority task may evict only by its team's guarantee."""
-        if not request.guaranteed:
+        """Choose the machine with the fewest evictions; a low-priority task may evict only on its team's guarantee."""
+        if not request.uses_guarantee:
             return None
         best: Offer | None = None
         fewest = 0
@@ -342,10 +358,10 @@
 
 
 class Ranking:
-    """The machines that fit a request without eviction, best first.
+    """The machines on which a request fits without eviction, best first.
 
-    All tasks of a job have the same request, so machines are ranked once per job; a machine that takes a task is
-    moved to its new position.
+    All tasks of a job have the same request, so machines are ranked once per job. A machine on which a task is
+    allocated moves to its new position.
     """
 
     def __init__(
@@ -356,7 +372,7 @@
     ) -> None:
         self._request = request
         self._sort_key = sort_key
-        # Sort keys end in the machine's name, so they are unique and candidates are never compared.
+        # Sort keys end in the machine id, so they are unique and candidates are never compared.
         self._order = sorted(
             (sort_key(request, candidate), candidate) for candidate in filter_fitting(request, candidates)
         )
@@ -367,11 +383,11 @@
     def __iter__(self) -> Iterator[Candidate]:
         return (candidate for _, candidate in self._order)
 
-    def allocate(self, candidate: Candidate, priority_line: int) -> None:
+    def allocate(self, candidate: Candidate, max_high_priority_rank: int) -> None:
         """Allocate the request on a candidate."""
         index = next(index for index, entry in enumerate(self._order) if entry[1] is candidate)
         del self._order[index]
-        candidate.allocate(self._request, priority_line)
+        candidate.allocate(self._request, max_high_priority_rank)
         if candidate.fits(self._request):
             insort(self._order, (self._sort_key(self._request, candidate), candidate))
 
--- a/src/gladecroft/coordination/scheduling/placement_writer.py
+++ b/src/gladecroft/coordination/scheduling/placement_writer.py
@@ -1,4 +1,4 @@
-"""Writes placements into transactions, conditional on the records that they depend on."""
+"""Adds placements to transactions, with the conditions under which they may be committed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PlacementWriter:
-    """Adds placements to transactions."""
+    """Adds placements of tasks on machines to transactions."""
 
     def __init__(self, context: ControllerContext, candidate_cache: CandidateCache) -> None:
         self.context = context
@@ -24,33 +24,36 @@
         self,
         txn: TransactionBuilder,
         job: Job,
-        number: int,
+        task_number: int,
         previous: TaskRecord,
         candidate: Candidate,
         write_machine_record: bool = True,
     ) -> bool:
-        """Add a placement to the transaction; False if it does not fit into it.
+        """Add a placement to the transaction; False if the transaction has no room for it.
 
-        Every placement is conditional on the machine's record. A gang's placement also writes the record of a machine
-        that this controller does not own, so that a concurrent one fails. For single tasks a write per machine would
-        exceed the request budget of the state service in a large fleet; if two home controllers use the same capacity,
-        the worker refuses the second task.
+        The commit requires that the machine's record is unchanged. For a gang, the record of a machine that this
+        controller does not own is also written, so that a concurrent placement by another controller fails. For other
+        jobs, a write per machine would exceed the request budget of the state service in a large fleet. If the home
+        controllers of two teams, each of which places its team's tasks, use the same capacity, the worker rejects the
+        second task.
         """
-        key = rec.machine_key(candidate.machine)
-        gang = job.spec.kind is JobKind.GANG
-        updates_machine = write_machine_record and gang and not candidate.owned and key not in txn.writes
-        if not txn.has_room((0 if txn.edits_chunk(job, number) else 1) + updates_machine, 1, 1):
+        key = rec.machine_key(candidate.machine_id)
+        is_gang = job.spec.kind is JobKind.GANG
+        updates_machine = write_machine_record and is_gang and not candidate.owned and key not in txn.writes
+        if not txn.has_room((0 if txn.edits_chunk(job, task_number) else 1) + updates_machine, 1, 1):
             return False
-        if not txn.task_fits(job, number, candidate.machine):
+        if not txn.task_fits(job, task_number, candidate.machine_id):
             return False  # with names this long, one record can't hold the placements of all tasks of the chunk
         txn.require(key)
         if updates_machine:
-            txn.put(key, self.cluster_state.machines[candidate.machine])
+            txn.put(key, self.cluster_state.machines[candidate.machine_id])
         attempt = previous.attempt + 1
-        now_s = int(self.context.wall_time.timestamp())
+        now_wall_s = int(self.context.wall_time.timestamp())
         txn.set_task(
-            job, number, TaskRecord(TaskState.ACTIVE, attempt, candidate.machine, previous.failures, "", now_s)
+            job,
+            task_number,
+            TaskRecord(TaskState.ACTIVE, attempt, candidate.machine_id, previous.failures, "", now_wall_s),
         )
-        txn.log_messages.append(f"{job.id}/{number}#{attempt} goes to {candidate.machine}")
-        self.candidate_cache.record_image(candidate.machine, job.spec.image)
+        txn.log_messages.append(f"{job.id}/{task_number}#{attempt} goes to {candidate.machine_id}")
+        self.candidate_cache.record_image(candidate.machine_id, job.spec.image)
         return True
--- a/src/gladecroft/coordination/scheduling/scheduler.py
+++ b/src/gladecroft/coordination/scheduling/scheduler.py
@@ -1,4 +1,7 @@
-"""Runs scheduling rounds: applies the two placers to all pending jobs and writes the placements into transactions."""
+"""Runs scheduling rounds: applies the two placers to all pending jobs and adds the placements to transactions.
+
+A team's home controller is the only one that places tasks of the team's jobs.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import TaskRecord, TaskState
 from gladecroft.bookkeeping.transaction import TransactionBuilder
-from gladecroft.coordination.admission.tiers import BOOSTED, DEFERRED, NORMAL, PriorityTiers
+from gladecroft.coordination.admission.tiers import BOOSTED, DEFERRED, NORMAL, AdmissionTiers
 from gladecroft.coordination.context import ControllerContext
 from gladecroft.coordination.machines import MachineManager
 from gladecroft.coordination.machines.fault_attribution import allowed_extra_starts, is_faulty_job, retry_backoff
@@ -17,7 +20,6 @@
 from gladecroft.coordination.scheduling.candidate_cache import CandidateCache
 from gladecroft.coordination.scheduling.evictor import Evictor
 from gladecroft.coordination.scheduling.gang_scheduler import GangScheduler
-from gladecroft.coordination.scheduling.infeasible_cache import InfeasibleCache
 from gladecroft.coordination.scheduling.ordering import JobOrdering
 from gladecroft.coordination.scheduling.pending_queue import PendingQueue, SchedulingRound, SubQueue
 from gladecroft.coordination.scheduling.placement import (
@@ -38,13 +40,14 @@
     task_request,
     zone_counts_and_cap,
 )
+from gladecroft.coordination.scheduling.unschedulable_cache import UnschedulableCache
 from gladecroft.coordination.state_writer import StateWriter
 from gladecroft.protocol.wire import PRIORITY_RANK, JobKind, JobSpec, MachineType
 
 log = logging.getLogger(__name__)
 
 MAX_PLACEMENTS_PER_ROUND = 400
-#: A controller without tasks to place updates its queue only once this many jobs have changed.
+#: A controller without tasks to place refreshes its pending queue only after more than this many jobs have changed.
 MAX_UNPROCESSED_CHANGES = 1000
 NO_CAPACITY = "no machine has room"
 NO_MACHINE = "no allowed machine is up"
@@ -54,7 +57,7 @@
 
 
 class Scheduler:
-    """Assigns pending tasks to machines, and evicts tasks where the placers decide so."""
+    """Assigns pending tasks to machines, and evicts other tasks for them where the placers decide to."""
 
     def __init__(
         self,
@@ -67,31 +70,45 @@
         self.cluster_state = context.cluster_state
         self.membership = membership
         self.state_writer = state_writer
-        self.priority_line = PRIORITY_RANK[context.operator_settings.priority_line]
-        self.candidate_cache = CandidateCache(context, membership, machine_manager, state_writer, self.priority_line)
+        #: Largest rank (lowest priority) that the high-priority placer handles; rank 0 is the highest priority.
+        self.max_high_priority_rank = PRIORITY_RANK[context.operator_settings.priority_line]
+        self.candidate_cache = CandidateCache(
+            context, membership, machine_manager, state_writer, self.max_high_priority_rank
+        )
         self.machine_allowed = self.candidate_cache.machine_allowed
-        high_priority = HighPriorityPlacer(context.operator_settings.offer_top, context.operator_settings.spot_avoiding)
-        self.selector = MachineSelector(high_priority, LowPriorityPlacer(), self.priority_line)
+        high_priority_placer = HighPriorityPlacer(
+            context.operator_settings.offer_top, context.operator_settings.spot_avoiding
+        )
+        self.selector = MachineSelector(high_priority_placer, LowPriorityPlacer(), self.max_high_priority_rank)
         self.ordering = JobOrdering(context)
-        #: All pending jobs in scheduling order.
+        #: The pending jobs of all teams in scheduling order.
         self.pending = PendingQueue(context.cluster_state, self.ordering, context.policy_engine)
         self.evictor = Evictor(context, membership, self.candidate_cache, self.selector)
-        self.writer = PlacementWriter(context, self.candidate_cache)
-        #: By job: the last round that visited it, and why it waits. For jobs not visited the subqueue's reason holds.
+        self.placement_writer = PlacementWriter(context, self.candidate_cache)
+        #: By job id: the number of the last round that tried to place the job, and why it still waits. For a job that
+        #: later rounds skipped, the reason for which its subqueue was closed is newer.
         self.wait_reasons: dict[str, tuple[int, str]] = {}
-        #: Why the current job could not be placed whole, if that may hold for others of its subqueue; else empty.
+        #: Why some tasks of the current job could not be placed, if that may affect other jobs of its subqueue; else
+        #: empty.
         self._unplaced_reason = ""
-        #: Tiers of teams and classes in this round, and the function that gives them; None if there are none.
-        self._tiers: PriorityTiers | None = None
-        self.current_tiers: Callable[[], PriorityTiers | None] | None = None
+        #: Tiers of teams and classes in this round, and the function that returns the current ones. None: no tiers.
+        self._tiers: AdmissionTiers | None = None
+        self.current_tiers: Callable[[], AdmissionTiers | None] | None = None
         self.gang_scheduler = GangScheduler(
-            context, state_writer, self.candidate_cache, self.selector, self.evictor, self.writer, self.set_wait_reason
+            context,
+            state_writer,
+            self.candidate_cache,
+            self.selector,
+            self.evictor,
+            self.placement_writer,
+            self.set_wait_reason,
         )
-        #: By job, task and attempt: when a failed task may start again.
+        #: By job id, task number and attempt: time of the monotonic clock at which a failed task may start again.
         self._retry_times: dict[tuple[str, int, int], timedelta] = {}
-        #: By job whose tasks fail on every machine: trial starts since that was detected, and when the next is due.
+        #: By id of a job whose tasks fail on every machine: trial starts since that was detected, and the time of the
+        #: monotonic clock from which the next is due.
         self._probes: dict[str, tuple[int, timedelta]] = {}
-        self.infeasible = InfeasibleCache(self.candidate_cache, self.priority_line)
+        self.unschedulable_cache = UnschedulableCache(self.candidate_cache, self.max_high_priority_rank)
         #: Cores on machines with high-priority tasks that low-priority tasks may still take in this round.
         self._headroom_cpus = 0.0
         state_writer.composers.append(self.evictor.drain)
@@ -100,11 +117,11 @@
         state_writer.composers.append(self.evictor.migrate_services)
 
     def infeasible_reason(self, spec: JobSpec) -> str | None | bool:
-        """Return why no machine type holds a task of a job; None if one does, False if the types are not known yet."""
+        """Return why a job's tasks fit no machine type; None if they fit one, False if the types are not known yet."""
         if not self.types:
             return False
         for machine_type in self.types.values():
-            if self.candidate_cache.type_allowed(spec, machine_type) and (
+            if self.candidate_cache.is_suitable_type(spec, machine_type) and (
                 spec.zone is None or spec.zone in machine_type.zones
             ):
                 return None
@@ -116,66 +133,66 @@
         return self.candidate_cache.machine_types
 
     def zone_counts_and_cap(self, job: Job) -> tuple[dict[str, int], int]:
-        """Return the number of the job's tasks in each zone, and the most that any zone may hold."""
+        """Return the number of the job's tasks in each zone, and the maximum number in any zone."""
         return zone_counts_and_cap(self.cluster_state, job)
 
     def place(self, txn: TransactionBuilder) -> None:
-        """Run a scheduling round: place the pending tasks of the teams that this controller is home to.
+        """Run a scheduling round: place the pending tasks of the teams whose home controller is this one.
 
-        The plan covers the pending jobs of all home controllers in one order, but only this controller's placements
-        are written, so that capacity which others are about to use is left to them. Otherwise two home controllers
-        placed tasks on the same capacity, and capacity freed by an eviction went to another borrower that was evicted
-        in turn.
+        The round covers the pending jobs of all home controllers in one order, but only this controller's placements
+        are written; for the jobs of others it reserves the capacity that they are about to use. Before that, two home
+        controllers placed tasks on the same capacity, and capacity freed by an eviction went to another task outside
+        its team's guarantee, which was evicted in turn.
         """
         context = self.context
         if len(self.wait_reasons) > 2 * len(self.cluster_state.queued_jobs) + 100:
             for job_id in [job_id for job_id in self.wait_reasons if job_id not in self.cluster_state.queued_jobs]:
                 del self.wait_reasons[job_id]
-        self.state_writer.waiting_jobs = 0
+        self.state_writer.queued_job_count = 0
         if not self._has_tasks_to_place():
             if len(self.cluster_state.dirty_jobs) > MAX_UNPROCESSED_CHANGES:
-                self.pending.refresh(context.wall_time.timestamp())  # else the ids of all past jobs would pile up
+                self.pending.refresh(context.wall_time.timestamp())  # else ids of finished jobs would accumulate
             return
         self.pending.refresh(context.wall_time.timestamp())
-        self.state_writer.waiting_jobs = len(self.pending)
-        self.candidate_cache.refresh(self.cluster_state.guaranteed_jobs())
-        self.infeasible.clear()
+        self.state_writer.queued_job_count = len(self.pending)
+        self.candidate_cache.refresh(self.cluster_state.guaranteed_job_ids())
+        self.unschedulable_cache.clear()
         self._headroom_cpus = self.low_priority_headroom()
-        max_tasks = MAX_PLACEMENTS_PER_ROUND
+        remaining_placements = MAX_PLACEMENTS_PER_ROUND
         self._tiers, round_ = self.start_round()
         for job, subqueue in round_:
             if self.is_held(job):
                 continue
-            limit = self.start_limit(job, subqueue)
-            if limit == 0:
+            max_starts = self.start_limit(job, subqueue)
+            if max_starts == 0:
                 continue
             home = self.membership.job_home(job.spec) or ""
             place = self.gang_scheduler.place if job.spec.kind is JobKind.GANG else self._place_job
             self._unplaced_reason = ""
-            max_now = max_tasks if limit is None else min(limit, max_tasks)
-            placed = place(txn, job, subqueue.uses_guarantee, home, max_now)
-            max_tasks -= placed
-            if limit is not None:
-                self._note_limited_start(job, placed, max_now)
+            max_placements = remaining_placements if max_starts is None else min(max_starts, remaining_placements)
+            placed = place(txn, job, subqueue.uses_guarantee, home, max_placements)
+            remaining_placements -= placed
+            if max_starts is not None:
+                self._note_limited_start(job, placed, max_placements)
             if self._tiers is not None:
-                self._tiers.add_planned(subqueue.group, placed * job.spec.cpus)
-            # Once the transaction is full nothing more can be written; the next round plans again.
-            if max_tasks <= 0 or not txn.has_room(1, 0):
+                self._tiers.add_tentative_cpus(subqueue.group, placed * job.spec.cpus)
+            # Nothing more can be written once the transaction is full; the next round starts from the first job again.
+            if remaining_placements <= 0 or not txn.has_room(1, 0):
                 break
             boosted = (
                 self._tiers is not None and self._tiers.tier_of(subqueue.group, subqueue.uses_guarantee) == BOOSTED
             )
             if self._unplaced_reason == NO_CAPACITY and (boosted or subqueue.overdue):
-                self.infeasible.reserve_machine(job, self.cluster_state.workload.smallest_task_cpus())
+                self.unschedulable_cache.reserve_machine(job, self.cluster_state.workload.smallest_task_cpus())
             if self._unplaced_reason:
-                self._close_if_infeasible(round_, subqueue, job, txn)
+                self._close_if_unschedulable(round_, subqueue, job, txn)
 
-    def start_round(self) -> tuple[PriorityTiers | None, SchedulingRound]:
+    def start_round(self) -> tuple[AdmissionTiers | None, SchedulingRound]:
         """Begin a round over all pending jobs, ordered by the current tiers; the queue must have been refreshed."""
         tiers = None if self.current_tiers is None else self.current_tiers()
         if tiers is None:
             return None, self.pending.start_round()
-        # A job may be delayed for exceeding its share, but not beyond the deadline for its start.
+        # Jobs of a group above its share may be deferred, but not once they are overdue.
         return tiers, self.pending.start_round(
             lambda subqueue: min(
                 tiers.tier_of(subqueue.group, subqueue.uses_guarantee), NORMAL if subqueue.overdue else DEFERRED
@@ -190,16 +207,16 @@
             for team, demand in self.cluster_state.workload.teams.items()
         )
 
-    def _close_if_infeasible(
+    def _close_if_unschedulable(
         self, round_: SchedulingRound, subqueue: SubQueue, job: Job, txn: TransactionBuilder
     ) -> None:
-        """After a job that could not be placed whole, close its subqueue if its smallest job can't be placed either."""
+        """Close the subqueue of a job that could not be placed in full if its smallest job can't be placed either."""
         reason = self._unplaced_reason
         if reason == TEAM_LIMIT_REACHED:
-            infeasible_for_all = txn.remaining_team_tasks(round_.smallest_job(subqueue)) <= 0
+            unschedulable_for_all = txn.remaining_team_tasks(round_.smallest_job(subqueue)) <= 0
         else:
-            infeasible_for_all = reason == NO_MACHINE or round_.mark_infeasible(subqueue, job)
-        if infeasible_for_all:
+            unschedulable_for_all = reason == NO_MACHINE or round_.mark_unschedulable(subqueue, job)
+        if unschedulable_for_all:
             round_.close(subqueue, reason)
 
     def is_held(self, job: Job) -> bool:
@@ -211,50 +228,50 @@
         return reason is not None
 
     def start_limit(self, job: Job, subqueue: SubQueue) -> int | None:
-        """Return how many of a job's tasks may start now; None if only capacity limits them."""
-        limit = self._probe_limit(job)
-        if limit is None and subqueue.overdue and job.spec.kind is not JobKind.GANG:
-            limit = self.ordering.tasks_to_start(job)
-        return limit
+        """Return how many of a job's tasks may start now; None if only capacity and the team's limit restrict them."""
+        max_starts = self._probe_limit(job)
+        if max_starts is None and subqueue.overdue and job.spec.kind is not JobKind.GANG:
+            max_starts = self.ordering.tasks_to_start(job)
+        return max_starts
 
     def _probe_limit(self, job: Job) -> int | None:
         """Return how many tasks of a job that fails on every machine may start now; None for other jobs.
 
-        If every task of a faulty array is retried by itself, that costs hundreds of starts, transactions and image
-        fetches, and machines are rented for it.
+        Without this limit, retries of every task of a faulty array cost hundreds of starts, transactions and image
+        fetches, and machines are rented for them.
         """
         if not is_faulty_job(job):
             self._probes.pop(job.id, None)
             return None
-        limit = allowed_extra_starts(job, self.context.wall_time.timestamp())
+        max_starts = allowed_extra_starts(job, self.context.wall_time.timestamp())
         probes, due = self._probes.setdefault(job.id, (0, self.context.now + retry_backoff(0)))
         if len(self._probes) > 2 * len(self.cluster_state.queued_jobs) + 100:
             for job_id in [job_id for job_id in self._probes if job_id not in self.cluster_state.queued_jobs]:
                 del self._probes[job_id]
         if not job.placed_count and self.context.now < due:
-            limit = 0
-        return limit
+            max_starts = 0
+        return max_starts
 
-    def _note_limited_start(self, job: Job, placed: int, limit: int) -> None:
-        """Update the state of a job that has a start limit, after the round has visited it."""
+    def _note_limited_start(self, job: Job, placed: int, max_starts: int) -> None:
+        """Update the state of a job with a start limit, after the round has tried to place its tasks."""
         if job.id in self._probes:
             if placed:
                 probes = self._probes[job.id][0] + 1
                 self._probes[job.id] = (probes, self.context.now + retry_backoff(probes))
-            # Its tasks do not wait for capacity, so the subqueue stays open for other jobs.
+            # The job does not wait for capacity, so its subqueue stays open for other jobs.
             self._unplaced_reason = ""
-        if placed >= limit:
+        if placed >= max_starts:
             self.set_wait_reason(job.id, "")
 
-    def set_wait_reason(self, job: str, reason: str) -> None:
-        """Record why a job waits; an empty reason says that it no longer does."""
+    def set_wait_reason(self, job_id: str, reason: str) -> None:
+        """Record why a job waits; an empty reason means that it no longer waits."""
         if reason:
-            self.wait_reasons[job] = (self.pending.rounds, reason)
+            self.wait_reasons[job_id] = (self.pending.round_number, reason)
         else:
-            self.wait_reasons.pop(job, None)
+            self.wait_reasons.pop(job_id, None)
 
     def low_priority_headroom(self) -> float:
-        """Return the free cores on machines with high-priority tasks, less a reserve for further such tasks.
+        """Return the free cores on machines with high-priority tasks, less a reserve for further high-priority tasks.
 
         Without the reserve, low-priority tasks filled these machines, were evicted for the next services and had to
         start over.
@@ -266,88 +283,101 @@
                 high_priority_cpus += candidate.high_priority_cpus
         return free_cpus - self.context.operator_settings.machine_reserve * high_priority_cpus
 
-    def _place_job(self, txn: TransactionBuilder, job: Job, guaranteed: bool, home: str, max_tasks: int) -> int:
-        """Place as many of a job's pending tasks as fit; for another home controller's job only reserve the capacity.
+    def _place_job(self, txn: TransactionBuilder, job: Job, uses_guarantee: bool, home: str, max_tasks: int) -> int:
+        """Place as many of a job's pending tasks as fit, at most ``max_tasks``.
 
-        Returns how many tasks were placed or had capacity reserved for them.
+        ``home`` is the job's home controller; if it is another one, capacity is only reserved. Returns how many tasks
+        were placed or had capacity reserved for them.
         """
         spec = job.spec
-        claimed = self.state_writer.holds_claim(spec.team)
-        may_write = home == self.context.name and claimed
+        holds_claim = self.state_writer.holds_claim(spec.team)
+        may_write = home == self.context.name and holds_claim
         max_placements = min(txn.remaining_team_tasks(job), max_tasks)
         reason = ""
-        zones, cap = zone_counts_and_cap(self.cluster_state, job) if spec.spread or spec.one_zone else ({}, spec.tasks)
-        if spec.one_zone and cap < spec.tasks:
+        tasks_by_zone, max_per_zone = (
+            zone_counts_and_cap(self.cluster_state, job) if spec.spread or spec.one_zone else ({}, spec.tasks)
+        )
+        if spec.one_zone and max_per_zone < spec.tasks:
             max_placements, reason = 0, "some of its machines are not known yet"
         tiers = self._tiers
         group = (spec.team, spec.job_class)
-        tier = NORMAL if tiers is None else tiers.tier_of(group, guaranteed)
-        protected = () if tiers is None else tiers.protected_groups(group, guaranteed, tier)
-        request = task_request(job, guaranteed, home, tier == DEFERRED, protected)
-        high_priority = request.rank <= self.candidate_cache.priority_line
-        excluded = not high_priority and not guaranteed and self._headroom_cpus < request.cpus
+        tier = NORMAL if tiers is None else tiers.tier_of(group, uses_guarantee)
+        protected = () if tiers is None else tiers.protected_groups(group, uses_guarantee, tier)
+        request = task_request(job, uses_guarantee, home, tier == DEFERRED, protected)
+        is_high_priority = request.rank <= self.candidate_cache.max_high_priority_rank
+        avoid_high_priority_machines = (
+            not is_high_priority and not uses_guarantee and self._headroom_cpus < request.cpus
+        )
         placed = evicted = 0
-        full_zones = [zone for zone, count in zones.items() if count >= cap] if spec.spread else []
+        full_zones = [zone for zone, count in tasks_by_zone.items() if count >= max_per_zone] if spec.spread else []
         constraints: tuple[object, ...] = (
             tuple(spec.types) if spec.types is not None else None,
             spec.zone,
             spec.spot,
             tuple(sorted(full_zones)),
-            high_priority or guaranteed,
+            is_high_priority or uses_guarantee,
         )
         if self.context.policy_engine is not None and self.context.policy_engine.is_job_specific():
-            constraints = (*constraints, job.id)  # policies may allow one job a machine that they refuse to another
-        preemption_key = (*constraints, request.rank, request.guaranteed, request.team, tier)
+            constraints = (*constraints, job.id)  # policies may allow a machine for one job and reject it for another
+        preemption_key = (*constraints, request.rank, request.uses_guarantee, request.team, tier)
         ranking: Ranking | None = None
         usable: list[Candidate] = []
-        # If no free capacity is left for such requests, only machines with releasing or borrowed capacity can serve.
-        nothing_free = max_placements > 0 and not spec.one_zone and self.infeasible.is_infeasible(constraints, request)
-        if nothing_free:
-            usable = self.infeasible.preemption_candidates(constraints, preemption_key, job, request, full_zones)
+        # If such requests fit into no free capacity, only machines with releasing or borrowed capacity are left.
+        no_free_capacity = (
+            max_placements > 0 and not spec.one_zone and self.unschedulable_cache.is_unschedulable(constraints, request)
+        )
+        if no_free_capacity:
+            usable = self.unschedulable_cache.preemption_candidates(
+                constraints, preemption_key, job, request, full_zones
+            )
             ranking = Ranking(
                 request,
                 (),
-                self.selector.high_priority.sort_key if high_priority else self.selector.low_priority.sort_key,
+                self.selector.high_priority_placer.sort_key
+                if is_high_priority
+                else self.selector.low_priority_placer.sort_key,
             )
-        if nothing_free and not usable:
+        if no_free_capacity and not usable:
             max_placements = 0
             reason = self._unplaced_reason = NO_CAPACITY
-            self.infeasible.copy_refusal(constraints, job)
-        for number in job.queued_numbers():
+            self.unschedulable_cache.copy_policy_rejection(constraints, job)
+        for task_number in job.queued_task_numbers():
             if placed >= max_placements:
                 if not reason and max_placements < max_tasks:
                     self._unplaced_reason = TEAM_LIMIT_REACHED
                 reason = reason or TEAM_LIMIT_REACHED
                 break
-            previous = txn.task(job, number)
-            if previous.state is not TaskState.QUEUED or not self._retry_due(job.id, number, previous):
+            previous = txn.task(job, task_number)
+            if previous.state is not TaskState.QUEUED or not self._retry_due(job.id, task_number, previous):
                 continue
             if ranking is None:
-                # Tasks on unknown machines may use up the cap of every zone; then no zone is open, not even one that
-                # holds no known task of the job.
-                usable = self.candidate_cache.usable(job, full_zones) if cap > 0 else []
+                # Tasks on unknown machines may use up the cap of every zone. Then no zone is usable, not even one
+                # without a known task of the job.
+                usable = self.candidate_cache.usable(job, full_zones) if max_per_zone > 0 else []
                 if spec.one_zone:
-                    usable = restrict_to_one_zone(usable, zones)
-                if excluded:
+                    usable = restrict_to_one_zone(usable, tasks_by_zone)
+                if avoid_high_priority_machines:
                     usable = [candidate for candidate in usable if candidate.high_priority_cpus <= EPSILON]
                 ranking = Ranking(
                     request,
                     usable,
-                    self.selector.high_priority.sort_key if high_priority else self.selector.low_priority.sort_key,
+                    self.selector.high_priority_placer.sort_key
+                    if is_high_priority
+                    else self.selector.low_priority_placer.sort_key,
                 )
             offer = self.selector.select(request, ranking, usable, previous)
             if offer is None:
                 if usable and not spec.one_zone and not (spec.spread and placed):
-                    self.infeasible.mark_infeasible(constraints, request)
-                    self.infeasible.mark_infeasible(preemption_key, request)
-                    self.infeasible.record_refusal(constraints, job)
+                    self.unschedulable_cache.mark_unschedulable(constraints, request)
+                    self.unschedulable_cache.mark_unschedulable(preemption_key, request)
+                    self.unschedulable_cache.record_policy_rejection(constraints, job)
                 reason = NO_CAPACITY if usable else NO_MACHINE
-                if not spec.spread or not zones:
+                if not spec.spread or not tasks_by_zone:
                     self._unplaced_reason = reason
                 break
             candidate = offer.candidate
             placed += 1
-            self.candidate_cache.mark_planned(candidate)
+            self.candidate_cache.invalidate(candidate)
             if offer.victims:
                 evicted += self._evict(txn, job, request, offer, may_write)
                 reason = "waiting for evicted work to stop"
@@ -355,10 +385,10 @@
                 reason = "waiting for evicted work to stop"
                 reserve(candidate, request)
             else:
-                if may_write and not self.writer.write(txn, job, number, previous, candidate):
+                if may_write and not self.placement_writer.write(txn, job, task_number, previous, candidate):
                     may_write, reason = False, "about to be placed"
-                ranking.allocate(candidate, self.candidate_cache.priority_line)
-                if not high_priority and not guaranteed and candidate.high_priority_cpus > EPSILON:
+                ranking.allocate(candidate, self.candidate_cache.max_high_priority_rank)
+                if not is_high_priority and not uses_guarantee and candidate.high_priority_cpus > EPSILON:
                     self._headroom_cpus -= request.cpus
                     if self._headroom_cpus < request.cpus:
                         usable = [candidate for candidate in usable if candidate.high_priority_cpus <= EPSILON]
@@ -366,54 +396,58 @@
                 candidate.add_task(
                     PlacedTask(
                         job.id,
-                        number,
+                        task_number,
                         spec.cpus,
                         spec.gpus,
                         spec.memory_gb,
                         job.priority_rank,
                         spec.team,
-                        guaranteed,
-                        1 << 40,
+                        uses_guarantee,
+                        1 << 40,  # later than every recorded time, since the placement has no time yet
                     )
                 )
             if spec.spread:
-                zones[candidate.zone] = zones.get(candidate.zone, 0) + 1
-                if zones[candidate.zone] >= cap:
+                tasks_by_zone[candidate.zone] = tasks_by_zone.get(candidate.zone, 0) + 1
+                if tasks_by_zone[candidate.zone] >= max_per_zone:
                     full_zone = candidate.zone
                     usable = [candidate for candidate in usable if candidate.zone != full_zone]
                     ranking.remove(lambda candidate, full_zone=full_zone: candidate.zone == full_zone)  # type: ignore[misc]
         if home == self.context.name:
-            if not claimed:
+            if not holds_claim:
                 reason = reason or "about to be placed"
             if reason:
-                refusal = self.candidate_cache.refusals.get(job.id)
-                reason = reason if refusal is None else f"{reason}; {refusal}"
+                rejection = self.candidate_cache.policy_rejections.get(job.id)
+                reason = reason if rejection is None else f"{reason}; {rejection}"
             self.set_wait_reason(job.id, reason)
             if evicted:
                 log.info("%s evicts %d tasks", job.id, evicted)
         return placed
 
     def _evict(self, txn: TransactionBuilder, job: Job, request: TaskRequest, offer: Offer, may_write: bool) -> int:
-        """Stop an offer's victims, or only plan it if another home controller will; return how many."""
-        count = 0
+        """Stop an offer's victims and reserve their capacity for the request; return how many are stopped.
+
+        Without ``may_write`` the victims only count as stopping in this round. The home controller of ``job`` stops
+        them, in a later round if it is this one.
+        """
+        stopped_count = 0
         candidate = offer.candidate
         for victim in offer.victims:
-            other = self.cluster_state.jobs.get(victim.job)
+            victim_job = self.cluster_state.jobs.get(victim.job_id)
             if (
                 not may_write
-                or other is not None
-                and self.evictor.stop_task_or_gang(txn, other, victim.number, f"evicted for {job.id}")
+                or victim_job is not None
+                and self.evictor.stop_task_or_gang(txn, victim_job, victim.task_number, f"evicted for {job.id}")
             ):
                 candidate.mark_stopping(victim)
-                count += 1
+                stopped_count += 1
         reserve(candidate, request)
-        return count
+        return stopped_count
 
-    def _retry_due(self, job: str, number: int, task: TaskRecord) -> bool:
-        """Whether a task may start now; after failures it waits with exponential backoff."""
+    def _retry_due(self, job_id: str, task_number: int, task: TaskRecord) -> bool:
+        """Whether a task may start now; after failures it is delayed with exponential backoff."""
         if not task.failures:
             return True
-        key = (job, number, task.attempt)
+        key = (job_id, task_number, task.attempt)
         due = self._retry_times.get(key)
         if due is None:
             if len(self._retry_times) > 20_000:
@@ -428,7 +462,7 @@
         if job.queued_count:
             policy_engine = self.context.policy_engine
             hold = policy_engine.hold_reason(job) if policy_engine is not None and policy_engine.has_holds() else None
-            # The subqueue's reason is newer for a job that the last rounds have skipped.
+            # For a job that the last rounds skipped, the reason for which its subqueue was closed is newer.
             _, reason = max(
                 self.wait_reasons.get(job.id, (-1, "")), self.pending.last_close(job), key=lambda known: known[0]
             )
--- a/src/gladecroft/coordination/state_writer/writer.py
+++ b/src/gladecroft/coordination/state_writer/writer.py
@@ -1,7 +1,11 @@
 """Writes a controller's changes of tasks, teams and machines to the state service, one transaction at a time.
 
-Pending changes are composed into a transaction only after the previous one is settled, so that each is based on the
-newest records. After a failed transaction, or one with unknown outcome, its keys are read again.
+Pending changes are composed into a transaction only after the outcome of the previous one is known, so that each is
+based on the newest records. After a conflict the changed keys are read again; after an unknown outcome, or a rejection
+as malformed, all of its keys.
+
+The *home controller* of a team schedules the team's jobs and is the only one that writes their records; it *claims* the
+team with a record that names it. The *owner* of a machine is the controller that receives the machine's reports.
 """
 
 from __future__ import annotations
@@ -23,21 +27,24 @@
 
 log = logging.getLogger(__name__)
 
-#: Size limit of a transaction.
+#: Maximum size of the writes and conditions of a transaction in bytes, as estimated by the transaction builder; leaves
+#: space below the 64 KiB limit on the body of a request.
 MAX_TXN_BYTES = 52_000
 #: Minimum time between two transactions, and the longer one that applies while nothing has changed.
 FLUSH_INTERVAL = timedelta(milliseconds=100)
 IDLE_FLUSH_INTERVAL = timedelta(milliseconds=400)
-#: Each queued job beyond the first ones delays the next placement round a little. Capacity that becomes free meanwhile
-#: goes to few jobs at a time, so that one write covers many tasks. With ten rounds a second, 2 % fewer arrays completed
-#: in time in two days of overload, because the write budget went into small placements.
+#: Each queued job beyond ``UNDELAYED_JOBS`` delays the next transaction, and with it the scheduling round, by
+#: ``DELAY_PER_JOB``. Capacity that becomes free meanwhile accumulates, so that one write places several tasks of a job.
+#: With ten rounds per second in two days of overload, 2 % fewer array jobs completed in time, because the write budget
+#: was spent on small placements.
 UNDELAYED_JOBS = 20
 DELAY_PER_JOB = timedelta(milliseconds=2)
 #: Writes kept free in the budget for submissions.
 RESERVED_USER_WRITES = 2
-#: How often this controller's weight in the write budget is updated.
-WEIGHT_INTERVAL = timedelta(seconds=2)
-#: After this time a policy record is written ahead of placements instead of only when there is space left.
+#: How often this controller's share of the write budget is updated.
+WRITE_SHARE_INTERVAL = timedelta(seconds=2)
+#: A policy record that has been pending for this long is written ahead of placements; before, only into space that they
+#: leave.
 POLICY_MAX_WAIT = timedelta(seconds=3)
 
 
@@ -48,7 +55,7 @@
     """
 
     value: bytes | None
-    since: timedelta
+    enqueued_at: timedelta
     on_committed: Callable[[], None]
 
 
@@ -63,51 +70,59 @@
         self.exits = self.exit_tracker.exits
         self.record_exit = self.exit_tracker.record_exit
         self.completion = CompletionComposer(context, membership, self.exit_tracker)
+        #: Pending machine records, by machine id; None deletes a record.
         self.machine_writes: dict[str, rec.MachineRecord | None] = {}
-        #: Pending policy records, by key. They come last in a transaction unless they have waited for long.
+        #: Pending policy records, by key; see ``POLICY_MAX_WAIT``.
         self.policy_writes: dict[str, PolicyWrite] = {}
         #: Teams with a placement whose commit has an unknown outcome.
         self.uncertain_teams: set[str] = set()
-        #: Functions that add further changes to a transaction; they run in order, after exits.
+        #: Functions that add placements and evictions to a transaction. They run in order, after all other changes but
+        #: deferred completions, orphan deletions and the remaining policy records.
         self.composers: list[Callable[[TransactionBuilder], None]] = []
-        #: Number of jobs that were queued in the last placement round.
-        self.waiting_jobs = 0
+        #: Number of pending jobs in the last scheduling round.
+        self.queued_job_count = 0
         self.commit_pending = False
+        #: Keys to read again, since the cluster state may not have their newest values.
         self._stale_keys: deque[str] = deque()
         self._reads_pending = 0
+        #: When the last transaction was composed, and the numbers of changes, exits and machine writes at that time.
         self._flushed_at = timedelta(days=-1)
         self._flushed_counts: tuple[int, int, int] = (-1, 0, 0)
-        self._weight_updated_at = timedelta(days=-1)
-        self._was_full = False
+        self._write_share_updated_at = timedelta(days=-1)
+        #: Whether the last transaction had no space left before orphan deletions.
+        self._last_txn_full = False
 
     def epoch_changed(self, continuous: bool) -> None:
-        """Drops what was collected under the old epoch: exits that may no longer hold, and pending machine records."""
+        """Drops exits that this controller may no longer record in the new epoch, and all pending machine records.
+
+        ``continuous`` is false if epochs were missed or this controller was not a member meanwhile.
+        """
         self.exit_tracker.epoch_changed(continuous)
         self.cluster_state.dirty_for_placement.update(self.machine_writes)
         self.machine_writes.clear()
 
     # Machines -----------------------------------------------------------------------------------------------
 
-    def put_machine(self, machine: str, record: rec.MachineRecord | None) -> None:
+    def put_machine(self, machine_id: str, record: rec.MachineRecord | None) -> None:
         """Schedules the write of a machine record; None deletes it."""
-        if record is None or self.cluster_state.machines.get(machine) != record:
-            self.machine_writes[machine] = record
-            self.cluster_state.dirty_for_placement.add(machine)
-        elif self.machine_writes.get(machine, record) != record:
-            # The pending write is obsolete, for instance because a silent machine has reported again.
-            del self.machine_writes[machine]
-            self.cluster_state.dirty_for_placement.add(machine)
-
-    def machine_record(self, machine: str) -> rec.MachineRecord | None:
+        if record is None or self.cluster_state.machines.get(machine_id) != record:
+            self.machine_writes[machine_id] = record
+            self.cluster_state.dirty_for_placement.add(machine_id)
+        elif self.machine_writes.get(machine_id, record) != record:
+            # The pending write is obsolete: for instance, a machine to be recorded as silent has reported again.
+            del self.machine_writes[machine_id]
+            self.cluster_state.dirty_for_placement.add(machine_id)
+
+    def machine_record(self, machine_id: str) -> rec.MachineRecord | None:
         """Returns a machine's record as it will be once pending writes are committed."""
-        if machine in self.machine_writes:
-            return self.machine_writes[machine]
-        return self.cluster_state.machines.get(machine)
+        if machine_id in self.machine_writes:
+            return self.machine_writes[machine_id]
+        return self.cluster_state.machines.get(machine_id)
 
     # Transactions -------------------------------------------------------------------------------------------
 
     def flush(self) -> None:
-        """Composes and commits the next transaction if none is in flight, one is due and the write budget allows it."""
+        """Composes and commits the next transaction if it is due, none is in flight and the write budget allows it."""
         context = self.context
         self._read_stale()
         if (
@@ -118,7 +133,7 @@
             or context.state_down()
         ):
             return
-        self._update_weight()
+        self._update_write_share()
         counts = (self.cluster_state.change_count, len(self.exits), len(self.machine_writes))
         if context.now - self._flushed_at < (
             self._flush_delay() if counts != self._flushed_counts else IDLE_FLUSH_INTERVAL
@@ -127,32 +142,35 @@
         # Some writes are kept free for submissions, which must not wait for the budget to refill.
         reserved = RESERVED_USER_WRITES if context.state_writes.burst >= 3 * RESERVED_USER_WRITES else 0
         budget = int(context.state_writes.available(context.now)) - reserved
-        ops = context.cluster.state.txn_ops
-        urgent = self._has_urgent_work()
-        context.state_writer_needs_writes = bool(self.cluster_state.queued_jobs or self.exits or self.machine_writes)
+        max_ops = context.cluster.state.txn_ops
+        production_queued = self._has_queued_production_jobs()
+        context.writer_waiting_for_budget = bool(self.cluster_state.queued_jobs or self.exits or self.machine_writes)
         # While there is more to write than the budget allows, few large transactions achieve more than many small ones.
-        # Otherwise urgent work is written at once.
-        if budget < min(4 if urgent and not self._was_full else ops // 2, int(context.state_writes.burst) - reserved):
+        # Otherwise a few writes are enough while production jobs are queued, so that they are placed without delay.
+        if budget < min(
+            4 if production_queued and not self._last_txn_full else max_ops // 2,
+            int(context.state_writes.burst) - reserved,
+        ):
             return
-        if context.users_need_writes and not context.state_writer_first:
+        if context.users_waiting_for_budget and not context.writer_has_turn:
             return
-        context.state_writer_needs_writes = False
+        context.writer_waiting_for_budget = False
         self._flushed_at, self._flushed_counts = context.now, counts
-        txn = TransactionBuilder(self.cluster_state, min(ops, budget), MAX_TXN_BYTES)
+        txn = TransactionBuilder(self.cluster_state, min(max_ops, budget), MAX_TXN_BYTES)
         context.update_write_rate()
         self._compose_claims(txn)
         batches = self.exit_tracker.batches()
-        self.completion.compose_exits(txn, batches, txn.max_ops // 2 if urgent else 0)
-        # Hundreds of machines may come up at once after a burst of rentals; tasks that can already run must not wait
-        # for all of their records.
+        self.completion.compose_awaited_exits(txn, batches, txn.max_ops // 2 if production_queued else 0)
+        # Hundreds of machines may come up together after a burst of rentals. Tasks that can already be placed must not
+        # wait until the records of all new machines are written.
         self._compose_machines(txn, txn.max_ops // 2 if self.cluster_state.queued_jobs else 0)
         self.completion.compose_final_records(txn)
         self.exit_tracker.compose_outbox(txn, self.machine_writes)
         self._compose_policies(txn, POLICY_MAX_WAIT, 1)
         for composer in self.composers:
             composer(txn)
-        self.completion.compose_completed(txn, batches)
-        self._was_full = not txn.has_room(1, 0)
+        self.completion.compose_deferred_completions(txn, batches)
+        self._last_txn_full = not txn.has_room(1, 0)
         self.completion.compose_orphan_deletes(txn)
         self._compose_policies(txn, timedelta(), len(self.policy_writes))
         if txn.finish():
@@ -160,28 +178,28 @@
 
     def _flush_delay(self) -> timedelta:
         """Returns the minimum time between two transactions while there are changes to write."""
-        if self._was_full:
-            return FLUSH_INTERVAL  # there is more to write than fits into one transaction
-        return min(IDLE_FLUSH_INTERVAL, FLUSH_INTERVAL + max(0, self.waiting_jobs - UNDELAYED_JOBS) * DELAY_PER_JOB)
+        if self._last_txn_full:
+            return FLUSH_INTERVAL  # there is more to write than fitted into the last transaction
+        return min(IDLE_FLUSH_INTERVAL, FLUSH_INTERVAL + max(0, self.queued_job_count - UNDELAYED_JOBS) * DELAY_PER_JOB)
 
-    def _update_weight(self) -> None:
-        """Periodically reports to the budget the share of unfinished work whose home is this controller."""
-        if self.context.now - self._weight_updated_at < WEIGHT_INTERVAL or not self.cluster_state.jobs:
+    def _update_write_share(self) -> None:
+        """Periodically sets this controller's share of the write budget from the jobs of which it is the home."""
+        if self.context.now - self._write_share_updated_at < WRITE_SHARE_INTERVAL or not self.cluster_state.jobs:
             return
-        self._weight_updated_at = self.context.now
+        self._write_share_updated_at = self.context.now
         own = total = 0
-        # Only work that is queued or ends soon causes writes; running services do not count.
+        # Only queued jobs, and running ones that end by themselves, cause writes; running services do not.
         for team, demand in self.cluster_state.workload.teams.items():
             total += demand.changing_jobs
             own += demand.changing_jobs * (self.membership.home(team) == self.context.name)
         if total:
             self.context.set_write_share(own / total)
 
-    def _has_urgent_work(self) -> bool:
-        """Whether work of the highest priority is queued at this controller."""
+    def _has_queued_production_jobs(self) -> bool:
+        """Whether production jobs, those of the highest priority, are queued at this home controller."""
         own_name = self.context.name
         return any(
-            demand.production_jobs and self.membership.home(team) == own_name
+            demand.queued_production_jobs and self.membership.home(team) == own_name
             for team, demand in self.cluster_state.workload.teams.items()
         )
 
@@ -191,7 +209,8 @@
         """Whether this controller alone may place tasks of a team and knows of all earlier placements.
 
         Its claim makes every commit fail that is based on an earlier claim, and the watch has delivered all changes
-        before the claim. So the team's usage is known from the cluster state, without a write for each placement.
+        before the claim. The cluster state therefore shows the team's whole usage, and the limit can be checked without
+        a usage record that each placement would have to update.
         """
         record = self.cluster_state.team_records.get(team)
         return (
@@ -203,7 +222,10 @@
         )
 
     def _compose_claims(self, txn: TransactionBuilder) -> None:
-        """Claims the teams with jobs queued here. A claim survives epochs in which only machines move."""
+        """Claims the teams with queued jobs of which this controller is the home controller.
+
+        A claim stays valid in a new epoch that only assigns machines to other owners.
+        """
         if self.membership.incarnation is None:
             return
         record = rec.TeamRecord(self.context.name, self.membership.incarnation)
@@ -217,43 +239,44 @@
                 txn.claimed_teams.add(team)
 
     def _compose_machines(self, txn: TransactionBuilder, reserve: int) -> None:
-        # Records that exclude a machine from placement come first.
-        for machine, record in sorted(
-            self.machine_writes.items(), key=lambda item: item[1] is None or item[1].use is rec.MachineUse.UP
+        # Records of machines that are not up come first, since they exclude machines from placement.
+        for machine_id, record in sorted(
+            self.machine_writes.items(),
+            key=lambda item: item[1] is None or item[1].lifecycle is rec.MachineLifecycle.UP,
         ):
             if not txn.has_room(1 + reserve, 0):
                 return
             if record is None:
-                if machine in self.cluster_state.machines:
-                    txn.delete(rec.machine_key(machine))
+                if machine_id in self.cluster_state.machines:
+                    txn.delete(rec.machine_key(machine_id))
                 else:
-                    del self.machine_writes[machine]
-                    self.cluster_state.dirty_for_placement.add(machine)
+                    del self.machine_writes[machine_id]
+                    self.cluster_state.dirty_for_placement.add(machine_id)
             elif (
-                self.cluster_state.machines.get(machine) == record
-                and machine not in self.cluster_state.reported_machines
+                self.cluster_state.machines.get(machine_id) == record
+                and machine_id not in self.cluster_state.reported_machines
             ):
-                del self.machine_writes[machine]
-                self.cluster_state.dirty_for_placement.add(machine)
+                del self.machine_writes[machine_id]
+                self.cluster_state.dirty_for_placement.add(machine_id)
             else:
-                txn.put(rec.machine_key(machine), record)
-                txn.log_messages.append(f"{machine} is {record.use.name.lower()}")
+                txn.put(rec.machine_key(machine_id), record)
+                txn.log_messages.append(f"{machine_id} is {record.lifecycle.name.lower()}")
 
     # Commits ------------------------------------------------------------------------------------------------
 
-    def _compose_policies(self, txn: TransactionBuilder, age: timedelta, limit: int) -> None:
-        """Adds up to ``limit`` policy records that have waited for at least ``age``.
+    def _compose_policies(self, txn: TransactionBuilder, min_age: timedelta, max_records: int) -> None:
+        """Adds up to ``max_records`` policy records that have been pending for at least ``min_age``.
 
-        In an overload transactions are always full. One record per transaction then goes before placements, but never
-        before the changes that protect running work.
+        In an overload all transactions are full. One record per transaction then goes before the placements, but never
+        before the changes that running tasks depend on: claims, exits, machine records and the outbox record.
         """
         for key, write in self.policy_writes.items():
-            if limit <= 0 or not txn.has_room(1, 0):
+            if max_records <= 0 or not txn.has_room(1, 0):
                 return
-            if key not in txn.writes and self.context.now - write.since >= age:
+            if key not in txn.writes and self.context.now - write.enqueued_at >= min_age:
                 txn.require(key)
                 txn.writes[key] = write.value
-                limit -= 1
+                max_records -= 1
 
     def _commit(self, txn: TransactionBuilder) -> None:
         context = self.context
@@ -263,12 +286,12 @@
         ]
         conditions = [wire.Condition(key, version) for key, version in txn.conditions.items()]
 
-        def then(status: int, body: bytes) -> None:
+        def on_commit_result(status: int, body: bytes) -> None:
             self.commit_pending = False
             for key, value in txn.writes.items():
-                # Refused writes use up the budget as well.
-                label = rec.RECORD_NAMES.get(key[: len(rec.JOBS)], key) + ("" if value is not None else " dropped")
-                context.count_writes(label if status == 200 else f"refused ({status})")
+                # Writes of a failed commit use up the budget as well.
+                label = rec.RECORD_NAMES.get(key[: len(rec.JOBS)], key) + ("" if value is not None else " deleted")
+                context.count_writes(label if status == 200 else f"failed ({status})")
             if status == 200:
                 revision = wire.decode(wire.TxnReply, body).revision
                 self.uncertain_teams -= txn.claimed_teams
@@ -283,14 +306,15 @@
                         log.info("%s", message)
             elif status == 409:
                 failed: list[str] = wire.decode(wire.TxnReply, body).failed
-                log.debug("commit refused: %s changed", ",".join(failed))
+                log.debug("commit conflict: %s changed", ",".join(failed))
                 self._stale_keys.extend(key for key in failed if key not in self._stale_keys)
             elif status == 0:
-                # The outcome is unknown, and the commit may still be executed later. The keys are read again, and
-                # conditions guard what follows. Its placements could come on top of the next ones: a new claim makes
-                # the commit fail or its effect visible.
+                # The outcome is unknown, and the commit may still be executed later. Its keys are read again, and the
+                # next transactions have conditions on them. Its placements together with those of a later commit could
+                # exceed the team's limit. This controller therefore renews its claim before it places again: the old
+                # commit then fails, unless it was executed earlier and the watch delivers its placements.
                 self.uncertain_teams |= txn.placed_teams
-                log.info("commit with unknown outcome: reading %d keys again", len(txn.writes))
+                log.info("outcome of commit unknown: reading %d keys again", len(txn.writes))
                 self._stale_keys.extend(key for key in txn.writes if key not in self._stale_keys)
             elif status == 400:
                 log.error("the state service rejected a commit as malformed: %s", body[:200])
@@ -298,13 +322,13 @@
             self._read_stale()
 
         if context.call_state(
-            "POST", wire.COMMIT_PATH, wire.encode(wire.Txn(conditions, list(ops))), then, writes=len(ops)
+            "POST", wire.COMMIT_PATH, wire.encode(wire.Txn(conditions, list(ops))), on_commit_result, writes=len(ops)
         ):
             self.commit_pending = True
-            context.state_writer_first = False
+            context.writer_has_turn = False
 
     def _read_stale(self) -> None:
-        """Reads stale keys again, eight at a time."""
+        """Reads stale keys again, at most eight at a time."""
         while self._stale_keys and self._reads_pending < 8:
             key = self._stale_keys[0]
             if not self._read(key):
@@ -312,7 +336,7 @@
             self._stale_keys.popleft()
 
     def _read(self, key: str) -> bool:
-        def then(status: int, body: bytes) -> None:
+        def on_read_result(status: int, body: bytes) -> None:
             self._reads_pending -= 1
             if status == 200:
                 item: wire.KeyValue = wire.decode(wire.KeyValue, body)
@@ -322,7 +346,7 @@
             else:
                 self._stale_keys.append(key)
 
-        if not self.context.call_state("GET", wire.key_path(key), None, then):
+        if not self.context.call_state("GET", wire.key_path(key), None, on_read_result):
             return False
         self._reads_pending += 1
         return True
--- a/src/gladecroft/coordination/users/commit_queue.py
+++ b/src/gladecroft/coordination/users/commit_queue.py
@@ -17,15 +17,15 @@
 
 log = logging.getLogger(__name__)
 
-#: More queued submissions and cancellations than this are a burst.
+#: A queue of more submissions and cancellations than this counts as a burst.
 BURST_SIZE = 4
 
 
 class CommitQueue:
     """Queue of submissions and cancellations that are to be committed.
 
-    ``route`` handles a request from the start again, ``look_up`` has its job read from the state service, and
-    ``reply_from_cache`` replies to it from the cluster state.
+    ``route`` handles a request again from the start, ``look_up`` queues it until its job has been read from the state
+    service, and ``reply_from_cache`` replies to it from the cluster state (False if that lacks the job).
     """
 
     def __init__(
@@ -51,64 +51,64 @@
         return len(self._queue)
 
     def append(self, entry: PendingRequest) -> None:
-        """Queue a submission of an unknown job, or a cancellation of a known one."""
+        """Queue a submission of an unknown job or a cancellation of a known job."""
         self._queue.append(entry)
 
     def flush(self) -> None:
         """Commit a batch of acceptances and cancellations in one transaction."""
         context = self.context
-        # Single submissions are committed at once. A burst takes turns with the state writer; otherwise no accepted
-        # job would be placed while it lasts.
+        # Single submissions are committed immediately. During a burst, this queue and the state writer take turns;
+        # otherwise no accepted job would be placed until the burst is over.
         is_burst = len(self._queue) > BURST_SIZE
-        context.users_need_writes = is_burst
+        context.users_waiting_for_budget = is_burst
         if self._in_flight or not self._queue:
             return
         budget_is_low = context.state_writes.available(context.now) < min(BURST_SIZE, context.state_writes.burst)
-        if is_burst and (budget_is_low or context.state_writer_needs_writes and context.state_writer_first):
+        if is_burst and (budget_is_low or context.writer_waiting_for_budget and context.writer_has_turn):
             return
-        ops_limit = min(context.cluster.state.txn_ops, max(1, int(context.state_writes.available(context.now))))
+        max_ops = min(context.cluster.state.txn_ops, max(1, int(context.state_writes.available(context.now))))
         conditions = {rec.EPOCH: self.cluster_state.version(rec.EPOCH)}
         batch: dict[str, tuple[rec.JobRecord, list[PendingRequest]]] = {}
         ops: list[wire.Put] = []
-        size = 300
-        while self._queue and len(ops) < ops_limit and len(conditions) + 2 <= 4 * context.cluster.state.txn_ops:
+        txn_bytes = 300
+        while self._queue and len(ops) < max_ops and len(conditions) + 2 <= 4 * context.cluster.state.txn_ops:
             entry = self._queue[0]
-            name = entry.request.job
-            job = self.cluster_state.jobs.get(name)
+            job_id = entry.request.job_id
+            job = self.cluster_state.jobs.get(job_id)
             if not self.pending.is_open(entry):
                 self._queue.popleft()
                 continue
-            if name in batch:
-                if entry.request.kind is not RequestKind.SUBMIT or batch[name][0].cancelled:
+            if job_id in batch:
+                if entry.request.kind is not RequestKind.SUBMIT or batch[job_id][0].cancelled:
                     break
                 self._queue.popleft()
-                batch[name][1].append(entry)
+                batch[job_id][1].append(entry)
                 continue
             if entry.request.kind is RequestKind.SUBMIT:
-                if job is not None or name in self.cluster_state.final_records:
+                if job is not None or job_id in self.cluster_state.final_records:
                     self._queue.popleft()
                     self._route(entry) if job is not None else self._reply_from_cache(entry)
                     continue
                 assert entry.spec is not None
                 record = rec.JobRecord(entry.spec, int(context.wall_time.timestamp() * 1000))
-                versions = {rec.job_key(name): 0, rec.final_key(name): 0}
+                expected_versions = {rec.job_key(job_id): 0, rec.final_key(job_id): 0}
             else:
                 if job is None or job.cancelled:
                     self._queue.popleft()
-                    self._route(entry) if name not in self.cluster_state.final_records else self._reply_from_cache(
+                    self._route(entry) if job_id not in self.cluster_state.final_records else self._reply_from_cache(
                         entry
                     )
                     continue
                 record = rec.JobRecord(job.spec, job.record.accepted_ms, True)
-                versions = {rec.job_key(name): job.version}
+                expected_versions = {rec.job_key(job_id): job.version}
             value = msgspec.json.encode(record)
-            size += len(value) + 300
-            if size > 60_000 and ops:
+            txn_bytes += len(value) + 300
+            if txn_bytes > 60_000 and ops:
                 break
             self._queue.popleft()
-            conditions.update(versions)
-            ops.append(wire.Put(rec.job_key(name), msgspec.Raw(value)))
-            batch[name] = (record, [entry])
+            conditions.update(expected_versions)
+            ops.append(wire.Put(rec.job_key(job_id), msgspec.Raw(value)))
+            batch[job_id] = (record, [entry])
         if not ops:
             return
         body = wire.encode(wire.Txn([wire.Condition(*pair) for pair in conditions.items()], list(ops)))
@@ -117,20 +117,20 @@
             for _, entries in reversed(list(batch.values())):
                 self._queue.extendleft(reversed([entry for entry in entries if self.pending.is_open(entry)]))
 
-        def then(status: int, body: bytes) -> None:
+        def on_commit_result(status: int, body: bytes) -> None:
             self._in_flight = False
-            context.count_writes("accepted or cancelled" if status == 200 else f"refused ({status})", len(ops))
+            context.count_writes("accepted or cancelled" if status == 200 else f"failed ({status})", len(ops))
             if status == 200:
                 revision = wire.decode(wire.TxnReply, body).revision
                 for op in ops:
                     self.cluster_state.apply(op.key, op.value, revision)
-                for name, (record, entries) in batch.items():
-                    self._committed(name, record, entries)
+                for job_id, (record, entries) in batch.items():
+                    self._on_committed(job_id, record, entries)
             elif status == 409:
                 failed = set(wire.decode(wire.TxnReply, body).failed)
-                for name in list(batch):
-                    if rec.job_key(name) in failed or rec.final_key(name) in failed:
-                        for entry in batch.pop(name)[1]:
+                for job_id in list(batch):
+                    if rec.job_key(job_id) in failed or rec.final_key(job_id) in failed:
+                        for entry in batch.pop(job_id)[1]:
                             self._look_up(entry)
                 requeue()
                 if rec.EPOCH in failed:
@@ -138,26 +138,26 @@
             elif status in (-1, 429, 503):
                 requeue()
             else:
-                # Unknown outcome: the records that the store has now decide. A job that is missing may still be created
-                # later by this commit.
+                # Unknown outcome: the current records in the state service decide. If the job has no record yet, this
+                # commit may still create it later.
                 for _, entries in batch.values():
                     for entry in entries:
                         self._look_up(entry)
 
-        if context.call_state("POST", wire.COMMIT_PATH, body, then, writes=len(ops)):
+        if context.call_state("POST", wire.COMMIT_PATH, body, on_commit_result, writes=len(ops)):
             self._in_flight = True
-            context.state_writer_first = True
+            context.writer_has_turn = True
         else:
             requeue()
 
-    def _committed(self, name: str, record: rec.JobRecord, entries: list[PendingRequest]) -> None:
-        """Answer the requests of a job whose record has been committed."""
-        job = self.cluster_state.jobs.get(name)
+    def _on_committed(self, job_id: str, record: rec.JobRecord, entries: list[PendingRequest]) -> None:
+        """Reply to the requests for a job whose record has been committed."""
+        job = self.cluster_state.jobs.get(job_id)
         if record.cancelled:
-            log.info("job %s: cancelled by its user", name)
+            log.info("job %s: cancelled by its user", job_id)
         else:
             spec = record.spec
-            log.info("job %s: accepted, %d tasks of %s for %s with %g cores for %g s each", name, spec.tasks,
+            log.info("job %s: accepted, %d tasks of %s for %s with %g cores for %g s each", job_id, spec.tasks,
                      spec.job_class, spec.team, spec.cpus, spec.estimate_s)  # fmt: skip
         for index, entry in enumerate(entries):
             if job is not None:
--- a/src/gladecroft/coordination/users/handler.py
+++ b/src/gladecroft/coordination/users/handler.py
@@ -1,8 +1,9 @@
 """Handles submissions, polls and cancellations.
 
-A reply never reports anything that is not committed, nor anything older than another controller may have reported:
-before a reply is given from the cluster state, a compare-only commit for many jobs at once confirms that it is up to
-date. Final records never change and need no confirmation. Requests that cannot be decided now are refused at once.
+A reply reflects only committed state, and no older state than another controller may have reported: before a request is
+answered from the cluster state, a compare-only commit (conditions without writes) for many jobs together confirms that
+the cluster state is up to date. Final records never change and need no confirmation. Requests that cannot be decided
+now are rejected immediately.
 """
 
 from __future__ import annotations
@@ -26,26 +27,27 @@
     RequestKind.CANCEL: timedelta(seconds=3),
     RequestKind.POLL: timedelta(seconds=1.4),
 }
+#: Default delay before a retry, by HTTP status.
 RETRY_AFTER_SECONDS = {429: 10, 503: 1}
-#: With admission control: the fraction of the pending requests up to which each kind is accepted, so that a burst of
-#: submissions leaves capacity for polls, and a burst of polls for cancellations.
-QUEUE_FRACTION = {RequestKind.SUBMIT: 0.5, RequestKind.POLL: 0.8, RequestKind.CANCEL: 1.0}
+#: With admission control: each kind of request is accepted while the number of pending requests is below this fraction
+#: of its maximum. A burst of submissions thus leaves capacity for polls, and a burst of polls for cancellations.
+MAX_PENDING_FRACTION = {RequestKind.SUBMIT: 0.5, RequestKind.POLL: 0.8, RequestKind.CANCEL: 1.0}
 CONFIRM_INTERVAL = timedelta(milliseconds=100)
-#: Largest fraction of a controller's request budget that is spent on confirming replies. Each commit confirms many, and
-#: even the smallest budget keeps some requests for changes.
+#: Largest fraction of a controller's request budget that is spent on confirmations. Each confirmation covers many jobs,
+#: and even the smallest budget leaves some requests for writes.
 CONFIRM_REQUEST_FRACTION = 1 / 3
 EXPIRY_INTERVAL = timedelta(milliseconds=100)
-#: Pending requests and unfinished jobs that are accepted per MB of a controller's memory limit. Every controller holds
-#: all jobs, and a job with its tasks takes several kilobytes.
+#: Maximum pending requests and maximum unfinished jobs per MB of a controller's memory limit. Every controller keeps
+#: all jobs in memory, and a job with its tasks takes several kilobytes.
 REQUESTS_PER_MB = 10
 JOBS_PER_MB = 30
 
 
 class UserRequestHandler:
-    """Replies to users' requests, or passes them on to be confirmed, committed or looked up first.
+    """Replies to users' requests, or queues them to be confirmed, committed or looked up first.
 
-    ``check_fit`` returns None if a job fits a machine type, the reason if it fits none, and False if the machine types
-    are not known yet.
+    ``check_fit`` returns None if a job fits a machine type, the reason if it fits no machine type, and False if the
+    machine types are not known yet.
     """
 
     def __init__(
@@ -55,8 +57,8 @@
         self.cluster_state = context.cluster_state
         self.pending = PendingRequests(context)
         self._check_fit = check_fit
-        #: Gives the seconds after which to repeat the submission of a job whose group is over its quota; None for a job
-        #: that is accepted. Unset without admission control.
+        #: Returns None for a job whose submission is accepted, else the seconds after which to retry the submission,
+        #: because its group (team and job class) exceeds its quota. Unset without admission control.
         self.retry_delay: Callable[[JobSpec], int | None] | None = None
         self._lookups = Lookups(context, self.pending, self._on_lookup)
         self._commit_queue = CommitQueue(
@@ -68,7 +70,7 @@
         self._expired_at = timedelta(days=-1)
 
     def queue_lengths(self) -> dict[str, int]:
-        """The lengths of the internal queues, as the view of a controller shows them."""
+        """Return the lengths of the internal queues, as shown in the controller's view."""
         return {"confirm": len(self._to_confirm), "changes": len(self._commit_queue), "reads": len(self._lookups)}
 
     def handle(self, request: IncomingRequest) -> None:
@@ -78,16 +80,16 @@
         if request.kind is RequestKind.SUBMIT:
             try:
                 entry.spec = wire.parse_job(request.body)
-                request.job = entry.spec.id
+                request.job_id = entry.spec.id
             except ValueError as error:
-                # A repeated submission of a known job is never rejected for good, even if it is malformed: if it names
-                # a job, the job is looked up first.
+                # A repeated submission of a known job is never rejected with a permanent error, even if it is
+                # malformed: if it contains a valid job id, the job is looked up first.
                 job_id = wire.submitted_job_id(request.body)
                 if job_id is None:
                     context.reply_error(request.request_id, 400, str(error))
                     return
-                request.job, entry.malformed = job_id, str(error)
-        final = self.cluster_state.final_records.get(request.job)
+                request.job_id, entry.malformed = job_id, str(error)
+        final = self.cluster_state.final_records.get(request.job_id)
         if final is not None:
             self.pending.reply_final(entry, final)
             return
@@ -96,16 +98,16 @@
             return
         if context.state_down():
             context.reply_error(
-                request.request_id, 503, "the state service does not answer", self._retry_after(request.job, 2)
+                request.request_id, 503, "the state service does not answer", self._retry_after(request.job_id, 2)
             )
             return
         max_requests = (
             REQUESTS_PER_MB
             * context.cluster.limits.memory_mb
-            * (QUEUE_FRACTION[request.kind] if self.retry_delay else 1.0)
+            * (MAX_PENDING_FRACTION[request.kind] if self.retry_delay else 1.0)
         )
         if len(self.pending.by_id) >= max_requests:
-            context.reply_error(request.request_id, 429, "too many requests wait", self._retry_after(request.job, 3))
+            context.reply_error(request.request_id, 429, "too many requests wait", self._retry_after(request.job_id, 3))
             return
         self.pending.by_id[request.request_id] = entry
         self._route(entry)
@@ -113,17 +115,17 @@
     def _route(self, entry: PendingRequest) -> None:
         """Queue a request to be confirmed, committed or looked up."""
         request = entry.request
-        job = self.cluster_state.jobs.get(request.job)
+        job = self.cluster_state.jobs.get(request.job_id)
         if job is not None:
             if request.kind is RequestKind.CANCEL and not job.cancelled:
                 self._commit_queue.append(entry)
             else:
-                self._to_confirm.setdefault(request.job, []).append(entry)
+                self._to_confirm.setdefault(request.job_id, []).append(entry)
             return
         if request.kind is RequestKind.SUBMIT:
             spec = entry.spec
-            # A job that is known elsewhere may have a spec that is no longer feasible; it is looked up before it is
-            # rejected.
+            # The job may be known to another controller although its spec is no longer feasible, so it is looked up
+            # before it is rejected.
             if spec is None or entry.lookups_done == 0 and self._rejection(spec) is not None:
                 self._lookups.look_up(entry)
             else:
@@ -131,14 +133,14 @@
             return
         self._lookups.look_up(entry)
 
-    def _retry_after(self, job: str, base: int | None) -> int | None:
-        """The seconds until a retry, spread so that users who are refused together do not come back together."""
-        if self.retry_delay is None or base is None:
-            return base
-        return base + int(hash_position(self.context.name, job) * (2 * base + 1))
+    def _retry_after(self, job_id: str, base_s: int | None) -> int | None:
+        """Return the seconds until a retry, spread so that users who are rejected together do not retry together."""
+        if self.retry_delay is None or base_s is None:
+            return base_s
+        return base_s + int(hash_position(self.context.name, job_id) * (2 * base_s + 1))
 
     def _rejection(self, spec: JobSpec) -> tuple[int, str] | None:
-        """HTTP status and reason if a new job must not be accepted, else None."""
+        """Return the HTTP status and the reason if a new job must not be accepted, else None."""
         infeasible = self.cluster_state.infeasible_reason(spec)
         if infeasible is not None:
             return 422, infeasible
@@ -147,7 +149,7 @@
             return 503, "the machine types are not known yet"
         if isinstance(fit_error, str):
             return 422, fit_error
-        # Checked last: a job that can never run is rejected as such whatever the load.
+        # Load limits are checked last: a job that can never run is rejected permanently, whatever the load.
         if len(self.cluster_state.jobs) >= JOBS_PER_MB * self.context.cluster.limits.memory_mb:
             return 429, "too many jobs are unfinished"
         if self.retry_delay is not None and self.retry_delay(spec) is not None:
@@ -155,13 +157,16 @@
         return None
 
     def _reply_from_cache(self, entry: PendingRequest) -> bool:
-        """Reply from the cluster state, which must be confirmed to be up to date for the job; False if it lacks it."""
-        name = entry.request.job
-        final = self.cluster_state.final_records.get(name)
+        """Reply from the cluster state, which must be confirmed to be up to date for the job.
+
+        Returns False if the cluster state does not contain the job.
+        """
+        job_id = entry.request.job_id
+        final = self.cluster_state.final_records.get(job_id)
         if final is not None:
             self.pending.reply_final(entry, final)
             return True
-        job = self.cluster_state.jobs.get(name)
+        job = self.cluster_state.jobs.get(job_id)
         if job is None:
             return False
         if entry.request.kind is RequestKind.CANCEL and not job.cancelled:
@@ -171,19 +176,19 @@
         return True
 
     def tick(self) -> None:
-        """Refuse requests that have timed out, then send confirmations, commits and lookups."""
+        """Reject requests that have timed out, then send commits, confirmations and lookups."""
         context = self.context
-        down = context.state_down()
-        is_due = context.now - self._expired_at >= EXPIRY_INTERVAL
-        if is_due:
+        state_is_down = context.state_down()
+        expiry_is_due = context.now - self._expired_at >= EXPIRY_INTERVAL
+        if expiry_is_due:
             self._expired_at = context.now
-        for entry in list(self.pending.by_id.values()) if is_due else ():
-            if down:
-                retry_after = self._retry_after(entry.request.job, 2)
-                self.pending.refuse(entry, 503, "the state service does not answer", retry_after)
+        for entry in list(self.pending.by_id.values()) if expiry_is_due else ():
+            if state_is_down:
+                retry_after_s = self._retry_after(entry.request.job_id, 2)
+                self.pending.reject(entry, 503, "the state service does not answer", retry_after_s)
             elif context.now - entry.received_at > TIMEOUTS[entry.request.kind]:
-                self.pending.refuse(
-                    entry, 503, "the state service was too slow", self._retry_after(entry.request.job, 1)
+                self.pending.reject(
+                    entry, 503, "the state service was too slow", self._retry_after(entry.request.job_id, 1)
                 )
         if not context.records_loaded:
             return
@@ -192,18 +197,18 @@
         self._lookups.flush()
 
     def _flush_confirm(self) -> None:
-        """Confirm by one compare-only commit that the records of as many jobs as possible are up to date."""
+        """Confirm by one compare-only commit, for as many jobs as possible, that the cluster state is up to date."""
         context = self.context
         min_interval = context.min_interval(CONFIRM_REQUEST_FRACTION, CONFIRM_INTERVAL)
         if self._confirm_in_flight or not self._to_confirm or context.now - self._confirmed_at < min_interval:
             return
         conditions: list[wire.Condition] = []
         batch: dict[str, list[PendingRequest]] = {}
-        for name in list(self._to_confirm):
+        for job_id in list(self._to_confirm):
             if len(batch) >= 4 * self.context.cluster.state.txn_ops:
                 break
-            entries = [entry for entry in self._to_confirm.pop(name) if self.pending.is_open(entry)]
-            job = self.cluster_state.jobs.get(name)
+            entries = [entry for entry in self._to_confirm.pop(job_id) if self.pending.is_open(entry)]
+            job = self.cluster_state.jobs.get(job_id)
             if not entries:
                 continue
             if job is None:
@@ -211,12 +216,12 @@
                     if not self._reply_from_cache(entry):
                         self._lookups.look_up(entry)
                 continue
-            batch[name] = entries
-            conditions.append(wire.Condition(rec.job_key(name), job.version))
+            batch[job_id] = entries
+            conditions.append(wire.Condition(rec.job_key(job_id), job.version))
         if not batch:
             return
 
-        def then(status: int, body: bytes) -> None:
+        def on_confirm_result(status: int, body: bytes) -> None:
             self._confirm_in_flight = False
             failed: set[str] = set()
             if status == 409:
@@ -224,48 +229,51 @@
             elif status != 200:
                 self._requeue(batch)
                 return
-            for name, entries in batch.items():
-                # A record that has changed still exists, as job record or as final record; the watch may have delivered
-                # the final one by now.
-                confirmed = rec.job_key(name) not in failed or name in self.cluster_state.final_records
+            for job_id, entries in batch.items():
+                # If the job record has changed, the job still exists, as a job record or as a final record. The watch
+                # may have delivered the final record by now.
+                confirmed = rec.job_key(job_id) not in failed or job_id in self.cluster_state.final_records
                 for entry in entries:
                     if not confirmed or not self._reply_from_cache(entry):
                         self._lookups.look_up(entry, exists=True)
 
-        # Confirmations take precedence over lookups and changes, so that requests about known jobs are always served.
-        if context.call_state("POST", wire.COMMIT_PATH, wire.encode(wire.Txn(conditions)), then, reserve=1.0):
+        # Confirmations may use the reserve of the request budget that lookups and commits must leave, so that requests
+        # for known jobs are always served.
+        if context.call_state(
+            "POST", wire.COMMIT_PATH, wire.encode(wire.Txn(conditions)), on_confirm_result, reserve=1.0
+        ):
             self._confirm_in_flight = True
             self._confirmed_at = context.now
         else:
             self._requeue(batch)
 
     def _requeue(self, batch: dict[str, list[PendingRequest]]) -> None:
-        """Put a batch that was not confirmed back, in front of newer requests; behind them it could wait forever."""
+        """Put a batch that was not confirmed back in front of newer requests; behind them it could wait forever."""
         newer, self._to_confirm = self._to_confirm, batch
-        for name, entries in newer.items():
-            self._to_confirm.setdefault(name, []).extend(entries)
+        for job_id, entries in newer.items():
+            self._to_confirm.setdefault(job_id, []).extend(entries)
 
     def _on_lookup(self, entry: PendingRequest, exists: bool) -> None:
         """Continue with a request whose job has been looked up."""
         if not exists:
             self._on_unknown_job(entry)
         elif not self._reply_from_cache(entry):
-            self._lookups.look_up(entry, exists=True)  # changed again, no longer in the cluster state
+            self._lookups.look_up(entry, exists=True)  # the job record has been deleted in the meantime
 
     def _on_unknown_job(self, entry: PendingRequest) -> None:
-        """Reply that the job does not exist, or accept it if the request is a submission."""
+        """Reply that the job does not exist; accept or reject it if the request is a submission."""
         if entry.request.kind is not RequestKind.SUBMIT:
             if self.pending.remove(entry):
                 self.context.reply_error(entry.request.request_id, 404, "no such job")
             return
         if entry.spec is None:
-            self.pending.refuse(entry, 400, entry.malformed)
+            self.pending.reject(entry, 400, entry.malformed)
             return
         rejection = self._rejection(entry.spec)
         if rejection is not None:
-            delay = self.retry_delay(entry.spec) if self.retry_delay is not None and rejection[0] == 429 else None
-            retry_after = delay or self._retry_after(entry.spec.id, RETRY_AFTER_SECONDS.get(rejection[0]))
-            self.pending.refuse(entry, rejection[0], rejection[1], retry_after)
+            delay_s = self.retry_delay(entry.spec) if self.retry_delay is not None and rejection[0] == 429 else None
+            retry_after_s = delay_s or self._retry_after(entry.spec.id, RETRY_AFTER_SECONDS.get(rejection[0]))
+            self.pending.reject(entry, rejection[0], rejection[1], retry_after_s)
         else:
             entry.lookups_done += 1
             self._commit_queue.append(entry)
--- a/src/gladecroft/coordination/users/pending.py
+++ b/src/gladecroft/coordination/users/pending.py
@@ -1,4 +1,4 @@
-"""Users' requests that wait for a reply, and the replies to them."""
+"""Users' requests that have no reply yet, and the replies to them."""
 
 from __future__ import annotations
 
@@ -19,40 +19,41 @@
 
 
 class PendingRequest(msgspec.Struct, eq=False):
-    """A user's request and when it was received."""
+    """A user's request and the time at which it was received."""
 
     request: IncomingRequest
     received_at: timedelta
-    #: Of a submission: the job, or None and what is malformed in it.
+    #: For a submission: the spec of the job, or None and what is malformed in the body.
     spec: JobSpec | None = None
     malformed: str = ""
     lookups_done: int = 0
 
 
 class PendingRequests:
-    """The requests that wait for a reply, by their id."""
+    """The requests that have no reply yet, by request id."""
 
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
         self.by_id: dict[int, PendingRequest] = {}
-        #: Gives the text that tells users why a job waits, or an empty one.
+        #: Returns the reason, shown to users, why the job is queued; empty if there is none.
         self.wait_reason: Callable[[Job], str] = lambda job: ""
 
     def remove(self, entry: PendingRequest) -> bool:
-        """Remove a request; False if it had its reply already."""
+        """Remove a request; return False if its reply has already been sent."""
         return self.by_id.pop(entry.request.request_id, None) is not None
 
-    def refuse(self, entry: PendingRequest, status: int, reason: str, retry_after: int | None = None) -> None:
+    def reject(self, entry: PendingRequest, status: int, reason: str, retry_after_s: int | None = None) -> None:
         """Reply with an error status."""
         if self.remove(entry):
-            log.info("%s %s refused with %d: %s", entry.request.kind.value, entry.request.job, status, reason)
-            self.context.reply_error(entry.request.request_id, status, reason, retry_after)
+            # Operators' tools match "refused with".
+            log.info("%s %s refused with %d: %s", entry.request.kind.value, entry.request.job_id, status, reason)
+            self.context.reply_error(entry.request.request_id, status, reason, retry_after_s)
 
     def reply_final(self, entry: PendingRequest, final: rec.FinalRecord) -> None:
         """Reply with the final record of the job."""
         self.by_id.pop(entry.request.request_id, None)
         state = JobState.DONE if final.done else JobState.CANCELLED
-        reply = JobStatus(entry.request.job, state)
+        reply = JobStatus(entry.request.job_id, state)
         if entry.request.kind is RequestKind.POLL:
             reply.done, reply.running = final.tasks, 0
             if final.reason:
@@ -60,7 +61,7 @@
         self.context.reply(entry.request.request_id, 200, wire.encode(reply))
 
     def reply_status(self, entry: PendingRequest, job: Job, status: int = 200) -> None:
-        """Reply with the present status of the job; ``status`` is the HTTP status."""
+        """Reply with the current status of the job; ``status`` is the HTTP status."""
         if not self.remove(entry):
             return
         if job.cancelled:
@@ -75,5 +76,5 @@
         self.context.reply(entry.request.request_id, status, wire.encode(reply))
 
     def is_open(self, entry: PendingRequest) -> bool:
-        """Whether the request still waits for its reply."""
+        """Return whether the request still has no reply."""
         return entry.request.request_id in self.by_id
--- a/src/gladecroft/lab/__init__.py
+++ b/src/gladecroft/lab/__init__.py
@@ -1,4 +1,4 @@
-"""A cluster for tests and trials: simulated counterparts of everything that a controller talks to, and a rule checker.
+"""A test cluster: simulated users, workers, cloud and state service, and an oracle that checks the rules of PROTOCOL.
 
 The service itself does not import this package.
 """
