--- a/src/gladecroft/lab/cloud.py
+++ b/src/gladecroft/lab/cloud.py
@@ -1,4 +1,8 @@
-"""A simulated cloud, as PROTOCOL describes it: limited capacity, boot times and a machine list that lags behind."""
+"""A simulated cloud, as PROTOCOL describes it: limited capacity, boot times and an outdated list of machines.
+
+Names on the wire: a hearth is a machine, a flavor a machine type, a district a zone, a booking the key of a
+rental request (a repeated request returns the same machines), and leftovers stands for spot.
+"""
 
 from __future__ import annotations
 
@@ -16,8 +20,10 @@
 
 
 class SimulatedCloud(CloudServer):
-    """Rents machines and takes them back. ``capacity`` counts the machines that are free per type, zone and spot or
-    not."""
+    """Rents out machines and takes them back when controllers return them.
+
+    ``capacity`` counts the machines that can still be rented, by machine type, zone and whether they are spot machines.
+    """
 
     def __init__(
         self,
@@ -31,15 +37,15 @@
         self.rentals_by_key: dict[str, list[str]] = {}
         self.machines: dict[str, SimulatedWorker] = {}
         self.rented_at: dict[str, timedelta] = {}
-        self.next_number = 1
+        self.next_machine_number = 1
         self.outage = False
         #: Probability that a rented machine never boots.
         self.boot_failure_rate = 0.0
-        #: Machines rented before this time are up within two seconds.
+        #: Machines rented before this time boot within two seconds.
         self.fast_boot_until = sim.now
         self.new_worker: Callable[[str, SimulatedMachineType, str, bool], SimulatedWorker]
         self.rental_count = 0
-        #: Mean age of the machine list that is returned.
+        #: Mean age of the list of machines in replies.
         self.list_lag = seconds(4)
         self.list_history: list[tuple[timedelta, list[Json]]] = []
         self._record_list()
@@ -47,19 +53,19 @@
     def _record_list(self) -> None:
         rows = [
             {
-                "nameId": name, "endpoint": worker.addr, "flavor": worker.machine_type.name, "district": worker.zone,
-                "leftovers": worker.spot,
+                "nameId": machine_id, "endpoint": worker.addr, "flavor": worker.machine_type.name,
+                "district": worker.zone, "leftovers": worker.spot,
                 "status": "failed" if worker.failed else "running" if worker.up else "starting",
-                "ageS": (self.sim.now - self.rented_at[name]).total_seconds(),
+                "ageS": (self.sim.now - self.rented_at[machine_id]).total_seconds(),
             }
-            for name, worker in sorted(self.machines.items())
+            for machine_id, worker in sorted(self.machines.items())
         ]  # fmt: skip
         self.list_history.append((self.sim.now, rows))
         self.list_history = self.list_history[-40:]
         self.sim.call_later(seconds(0.5), self._record_list)
 
     def serve(self, node: str, method: str, path: str, body: bytes, reply: ReplyCallback) -> None:
-        """Answer a request of a controller."""
+        """Handle a request of a controller."""
         url = urlsplit(path)
         if self.outage:
             reply(503, encode_json({"error": "trouble"}))
@@ -74,8 +80,8 @@
                 })  # fmt: skip
             reply(200, encode_json({"flavors": rows}))
         elif url.path == "/hosts/return":
-            for name in msgspec.json.decode(body)["hearths"]:
-                self.remove(name)
+            for machine_id in msgspec.json.decode(body)["hearths"]:
+                self.remove(machine_id)
             reply(200, b"{}")
         elif method == "POST":
             self._handle_rent(msgspec.json.decode(body), reply)
@@ -96,26 +102,26 @@
         reply(200, encode_json({"hearths": self.rentals_by_key[request["booking"]]}))
 
     def rent(self, machine_type: str, zone: str, spot: bool, boot: timedelta | None = None) -> str:
-        """Start a machine and return its name. With ``boot`` it boots for certain, after exactly that time."""
-        name = f"m-{self.next_number:06d}"
-        self.next_number += 1
+        """Start a machine and return its id. With ``boot`` the machine always boots, after exactly that time."""
+        machine_id = f"m-{self.next_machine_number:06d}"
+        self.next_machine_number += 1
         self.rental_count += 1
-        worker = self.new_worker(name, self.machine_types[machine_type], zone, spot)
-        self.machines[name] = worker
-        self.rented_at[name] = self.sim.now
+        worker = self.new_worker(machine_id, self.machine_types[machine_type], zone, spot)
+        self.machines[machine_id] = worker
+        self.rented_at[machine_id] = self.sim.now
         if boot is None and self.sim.rng.random() < self.boot_failure_rate:
-            return name
+            return machine_id
         boot_time = (
             seconds(self.machine_types[machine_type].boot_s * self.sim.rng.uniform(0.6, 1.5)) if boot is None else boot
         )
         if boot is None and self.sim.now < self.fast_boot_until:
             boot_time = seconds(self.sim.rng.uniform(0.2, 2.0))
         self.sim.call_later(boot_time, worker.boot)
-        return name
+        return machine_id
 
-    def remove(self, name: str) -> None:
-        """Stop a machine and free its capacity; an unknown name is ignored."""
-        worker = self.machines.pop(name, None)
+    def remove(self, machine_id: str) -> None:
+        """Stop a machine and free its capacity. Unknown ids are ignored."""
+        worker = self.machines.pop(machine_id, None)
         if worker is not None:
             worker.terminate()
             self.capacity[(worker.machine_type.name, worker.zone, worker.spot)] += 1
--- a/src/gladecroft/lab/commands.py
+++ b/src/gladecroft/lab/commands.py
@@ -1,4 +1,4 @@
-"""``gladecroft lab``: runs scenarios in virtual time, or a cluster on loopback."""
+"""``gladecroft lab``: runs scenarios in virtual time, or a cluster on the loopback interface in real time."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from gladecroft.toolbox.controller_client import EXIT_BAD_INPUT, exit_with_error
 
 EXIT_RULE_VIOLATED = 1
-#: Downtime of a killed controller.
+#: Time from the kill of a controller to its restart.
 RESTART_DELAY = timedelta(seconds=3)
 #: Time between two submissions at speed 1.
 JOB_INTERVAL_S = 1.5
@@ -36,7 +36,7 @@
 @click.option("--seed", default=1, show_default=True, help="Seed of the random number generator.")
 @click.option("--json", "as_json", is_flag=True, help="Print the results as JSON.")
 def play(scenarios: tuple[str, ...], seed: int, as_json: bool) -> None:
-    """Run SCENARIO files in virtual time and check every rule."""
+    """Run SCENARIO files in virtual time; check the rules of PROTOCOL and the expectations of the files."""
     logging.disable(logging.CRITICAL)
     failed = 0
     for path in scenarios:
@@ -65,26 +65,26 @@
         if oracle.violations:
             for event in list(oracle.events)[-MAX_EVENTS_SHOWN:]:
                 click.echo(f"  {event}")
-        for broken in oracle.violations:
-            click.echo(f"  broken rule: {broken}")
+        for violation in oracle.violations:
+            click.echo(f"  broken rule: {violation}")
     sys.exit(EXIT_RULE_VIOLATED if failed else 0)
 
 
-def _parse_window(text: str, name: str) -> tuple[float, float]:
+def _parse_window(text: str, option: str) -> tuple[float, float]:
     start, _, duration = text.partition(":")
     try:
         return float(start), float(duration)
     except ValueError:
-        exit_with_error(EXIT_BAD_INPUT, f"{name}: expected AT:FOR in seconds, such as 20:30, got {text!r}")
+        exit_with_error(EXIT_BAD_INPUT, f"{option}: expected AT:FOR in seconds, such as 20:30, got {text!r}")
 
 
 @lab.command()
-@click.option("--for", "length", type=click.FloatRange(1), help="Seconds to run. Default: until Ctrl-C.")
+@click.option("--for", "duration_s", type=click.FloatRange(1), help="Seconds to run. Default: until Ctrl-C.")
 @click.option("--controllers", default=3, show_default=True, type=click.IntRange(1, 9))
 @click.option(
     "--speed", default=1.0, show_default=True, type=click.FloatRange(0.1, 10), help="Factor for run and boot times."
 )
-@click.option("--kill", "kill_every", type=click.FloatRange(4), help="Kill a controller every so many seconds.")
+@click.option("--kill", "kill_interval_s", type=click.FloatRange(4), help="Kill a controller every so many seconds.")
 @click.option("--outage", help="Begin and duration of a state service outage in seconds, as AT:FOR.")
 @click.option(
     "--port", default=0, type=click.IntRange(0, 65000), help="First port of the controllers. Default: any free ports."
@@ -93,17 +93,17 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="Print a line of JSON per second instead of a table.")
 def up(
-    length: float | None,
+    duration_s: float | None,
     controllers: int,
     speed: float,
-    kill_every: float | None,
+    kill_interval_s: float | None,
     outage: str | None,
     port: int,
     properties: str | None,
     seed: int,
     as_json: bool,
 ) -> None:
-    """Start a cluster on loopback, submit a small load and show its state."""
+    """Start a cluster on the loopback interface, submit a small load and show the cluster's state."""
     outage_window = None if outage is None else _parse_window(outage, "--outage")
     try:
         operator_settings = load_operator(properties)
@@ -117,8 +117,8 @@
             _run_cluster,
             cluster,
             operator_settings,
-            length,
-            kill_every,
+            duration_s,
+            kill_interval_s,
             outage_window,
             display,
             backend_options={"use_uvloop": True},
@@ -141,16 +141,16 @@
             f"{last['at_s']:.0f} s: {last['jobs'].get('done', 0)} of {last['jobs']['submitted']} jobs done, "
             f"{cluster.kill_count} controllers killed, {len(last['broken_rules'])} broken rules (seed {seed})"
         )
-    for broken in last["broken_rules"]:
-        click.echo(f"broken rule: {broken}", err=True)
+    for violation in last["broken_rules"]:
+        click.echo(f"broken rule: {violation}", err=True)
     sys.exit(EXIT_RULE_VIOLATED if last["broken_rules"] else 0)
 
 
 async def _run_cluster(
     cluster: LoopbackCluster,
     operator_settings: OperatorSettings,
-    length: float | None,
-    kill_every: float | None,
+    duration_s: float | None,
+    kill_interval_s: float | None,
     outage_window: tuple[float, float] | None,
     display: Any,
 ) -> None:
@@ -161,18 +161,18 @@
         if outage_window is not None:
             cluster.sim.call_at(timedelta(seconds=outage_window[0]), lambda: cluster.state.set_outage(True))
             cluster.sim.call_at(timedelta(seconds=sum(outage_window)), lambda: cluster.state.set_outage(False))
-        while length is None or time.monotonic() - started_at < length:
-            now = time.monotonic() - started_at
+        while duration_s is None or time.monotonic() - started_at < duration_s:
+            elapsed_s = time.monotonic() - started_at
             if (
                 any(controller.alive for controller in cluster.controllers)
-                and now * cluster.speed >= job_count * JOB_INTERVAL_S
+                and elapsed_s * cluster.speed >= job_count * JOB_INTERVAL_S
             ):
                 cluster.submit()
                 job_count += 1
-            if kill_every is not None and now >= (kill_count + 1) * kill_every:
+            if kill_interval_s is not None and elapsed_s >= (kill_count + 1) * kill_interval_s:
                 await cluster.kill_random_controller(operator_settings, RESTART_DELAY)
                 kill_count += 1
-            if now >= shown_count:
+            if elapsed_s >= shown_count:
                 display.show(cluster.snapshot())
                 shown_count += 1
             await anyio.sleep(0.05)
@@ -180,7 +180,7 @@
 
 
 class _JsonLines:
-    """Prints each snapshot as a line of JSON."""
+    """Prints each snapshot as one line of JSON."""
 
     def show(self, snapshot: dict[str, Any]) -> None:
         click.echo(msgspec.json.encode(snapshot).decode())
--- a/src/gladecroft/lab/fault_injection.py
+++ b/src/gladecroft/lab/fault_injection.py
@@ -1,6 +1,6 @@
-"""Scenario actions that need state of their own: combined cancellations, unusual requests, replayed reports.
+"""Scenario actions that keep state between events: combined cancellations, unusual requests, replayed reports.
 
-``tests/scenarios/README`` describes each of them.
+``tests/scenarios/README`` describes the actions.
 """
 
 from __future__ import annotations
@@ -18,16 +18,19 @@
 
 Json = dict[str, Any]
 
-#: Combined cancellations are spread over this time.
+#: Time over which the cancellations of one action are spread.
 CANCEL_SPREAD_S = 0.2
 MAX_HUNG_MACHINES = 8
-#: Jobs with a longer run time count as long-running, and so do services.
+#: Services and jobs with a longer run time count as long-running.
 LONG_RUN_S = 10.0
-#: Upper bounds of the delay between a response and the concurrent polls that follow it.
+#: Upper bounds of the delay between a response and the concurrent requests that follow it: one request per controller
+#: and entry.
 POLL_DELAYS_MS = (0.0, 2.0, 8.0)
 UNUSUAL_REQUEST_INTERVAL_S = 0.7
 LEADER_CHECK_INTERVAL_S = 0.05
-#: Changes that make a valid job impossible to run or incomplete: a field's new value, or None to remove the field.
+#: Changes that make a valid job invalid: a field's new value, or None to remove the field. The fields are those of a
+#: submission: cores and memoryGb of a task, flavors (machine types), owner (team), cards (GPUs), portions (tasks),
+#: shape (kind of job) and urgency (priority).
 INVALID_CHANGES: tuple[Json, ...] = (
     {"cores": 1e6}, {"memoryGb": 1e6}, {"flavors": ["none"]}, {"owner": "nobody"}, {"cards": 64.0},
     {"owner": None}, {"cores": None}, {"portions": None}, {"shape": None}, {"portions": 0}, {"cores": -1.0},
@@ -36,7 +39,7 @@
 
 
 class FaultInjector:
-    """Carries out these actions on the scenario's users, workers and controllers."""
+    """Performs the actions on the scenario's users, workers and controllers."""
 
     def __init__(
         self, sim: Simulation, state: SimulatedStateService, cloud: SimulatedCloud,
@@ -48,39 +51,39 @@
         self.controllers = controllers
         self.oracle = oracle
         self.users = users
-        self._kept_reports: list[bytes] = []
-        self._impossible_job_count = 0
-        self._leader = ""
+        self._captured_reports: list[bytes] = []
+        self._invalid_job_count = 0
+        self._last_leader = ""
 
     # Replayed reports ----------------------------------------------------------------------------------------
 
-    def replay_reports_to_next_leader(self, share: float, until: float) -> None:
-        """Keep copies of this share of the reports until the leader changes, then deliver them to every controller."""
-        self._leader = self._current_leader()
+    def replay_reports_to_next_leader(self, share: float, until_s: float) -> None:
+        """Capture this share of the reports until the leader changes, then deliver the copies to every controller."""
+        self._last_leader = self._current_leader()
         for worker in self.cloud.machines.values():
             worker.on_report_sent = lambda body: (
-                self._kept_reports.append(body) if self.sim.rng.random() < share else None
+                self._captured_reports.append(body) if self.sim.rng.random() < share else None
             )
-        self._watch_leader(until)
+        self._watch_leader(until_s)
 
     def _current_leader(self) -> str:
         return str(self.state.entries["g/epoch"][0]["leader"]) if "g/epoch" in self.state.entries else ""
 
-    def _watch_leader(self, until: float) -> None:
+    def _watch_leader(self, until_s: float) -> None:
         leader = self._current_leader()
-        if leader != self._leader:
-            self._leader = leader
-            reports, self._kept_reports = self._kept_reports, []
+        if leader != self._last_leader:
+            self._last_leader = leader
+            reports, self._captured_reports = self._captured_reports, []
             for body in reports:
                 for target in self.controllers:
                     delay = seconds(self.sim.rng.uniform(0.0, 0.5))
                     self.sim.call_later(delay, lambda to=target, body=body: self._deliver(to, body))  # type: ignore[misc]
-        if self.sim.elapsed() < until:
-            self.sim.call_later(seconds(LEADER_CHECK_INTERVAL_S), lambda: self._watch_leader(until))
+        if self.sim.elapsed() < until_s:
+            self.sim.call_later(seconds(LEADER_CHECK_INTERVAL_S), lambda: self._watch_leader(until_s))
         else:
             for worker in self.cloud.machines.values():
                 worker.on_report_sent = None
-            self._kept_reports.clear()
+            self._captured_reports.clear()
 
     @staticmethod
     def _deliver(controller: SimulatedController, body: bytes) -> None:
@@ -90,48 +93,54 @@
     # Cancellations -------------------------------------------------------------------------------------------
 
     def cancel_running_jobs(self, count: int, hang_s: float) -> None:
-        """Cancel so many long-running jobs within ``CANCEL_SPREAD_S``, and hang some of the machines that run them."""
-        running = sorted(job for job, user in self.users.items() if self._is_long_running(job, user))
+        """Cancel ``count`` long-running jobs within ``CANCEL_SPREAD_S``.
+
+        If ``hang_s`` is not zero, up to ``MAX_HUNG_MACHINES`` of the machines that run them hang for that time.
+        """
+        running = sorted(job_id for job_id, user in self.users.items() if self._is_long_running(job_id, user))
         chosen = self.sim.rng.sample(running, min(count, len(running)))
         machines: dict[str, SimulatedWorker] = {}
-        for job in chosen:
-            self.sim.call_later(seconds(self.sim.rng.uniform(0, CANCEL_SPREAD_S)), self.users[job].cancel)
+        for job_id in chosen:
+            self.sim.call_later(seconds(self.sim.rng.uniform(0, CANCEL_SPREAD_S)), self.users[job_id].cancel)
             for worker in self.cloud.machines.values():
-                if any(key[0] == job for key in worker.tasks):
+                if any(key[0] == job_id for key in worker.tasks):
                     machines[worker.name] = worker
         for worker in list(machines.values())[:MAX_HUNG_MACHINES] if hang_s else ():
             worker.hang(seconds(hang_s))
 
-    def _is_long_running(self, job: str, user: SimulatedUser) -> bool:
-        if user.cancelling or job in self.oracle.cancel_requested or job not in self.oracle.accepted_at:
+    def _is_long_running(self, job_id: str, user: SimulatedUser) -> bool:
+        if user.cancelling or job_id in self.oracle.cancel_requested or job_id not in self.oracle.accepted_at:
             return False
-        if not any(key[0] == job and places for key, places in self.oracle.running_on.items()):
+        if not any(key[0] == job_id and places for key, places in self.oracle.running_on.items()):
             return False
         return bool(user.spec["shape"] == "service" or user.spec["runS"] > LONG_RUN_S)
 
-    def cancel_on_completion(self, share: float, until: float) -> None:
+    def cancel_on_completion(self, share: float, until_s: float) -> None:
         """Cancel this share of the jobs within 10 ms of their completion."""
 
-        def on_done(job: str) -> None:
-            user = self.users.get(job)
-            if user is not None and self.sim.elapsed() < until and self.sim.rng.random() < share:
+        def on_done(job_id: str) -> None:
+            user = self.users.get(job_id)
+            if user is not None and self.sim.elapsed() < until_s and self.sim.rng.random() < share:
                 self.sim.call_later(seconds(self.sim.rng.uniform(0, 0.01)), user.cancel)
 
         self.oracle.on_job_done.append(on_done)
 
     # Requests ------------------------------------------------------------------------------------------------
 
-    def send_concurrent_polls(self, until: float, cancel_probability: float) -> None:
-        """Whenever a user first learns that a job is accepted, done or cancelled, poll it or repeat its submission at
-        all controllers within milliseconds. Some users cancel as soon as their job is accepted."""
+    def send_concurrent_polls(self, until_s: float, cancel_probability: float) -> None:
+        """Send concurrent requests about a job whenever a response first reports it as accepted, done or cancelled.
+
+        Within milliseconds the user polls the job, or repeats its submission, at all controllers. With
+        ``cancel_probability`` the user cancels the job as soon as it is accepted.
+        """
         seen: set[tuple[str, str]] = set()
 
-        def on_response(job: str, kind: RequestKind, state: str) -> None:
-            user = self.users.get(job)
+        def on_response(job_id: str, kind: RequestKind, state: str) -> None:
+            user = self.users.get(job_id)
             outcome = state if state in ("done", "aborted") else "accepted"
-            if user is None or self.sim.elapsed() >= until or (job, outcome) in seen:
+            if user is None or self.sim.elapsed() >= until_s or (job_id, outcome) in seen:
                 return
-            seen.add((job, outcome))
+            seen.add((job_id, outcome))
             for controller in self.controllers:
                 for delay_ms in POLL_DELAYS_MS:
                     kind = RequestKind.SUBMIT if self.sim.rng.random() < 0.2 else RequestKind.POLL
@@ -148,32 +157,31 @@
     ) -> Callable[[], None]:
         return lambda: user.send_request(kind, controller) if controller.alive else None
 
-    def send_unusual_requests(self, until: float) -> None:
-        """Repeat submissions of unfinished jobs, cancel finished jobs and submit jobs that are impossible or
-        incomplete."""
-        if self.sim.elapsed() >= until:
+    def send_unusual_requests(self, until_s: float) -> None:
+        """Repeat submissions of unfinished jobs, cancel finished jobs and submit invalid jobs."""
+        if self.sim.elapsed() >= until_s:
             return
         rng = self.sim.rng
         available = [controller for controller in self.controllers if controller.alive]
-        accepted = sorted(job for job in self.oracle.accepted_at if job in self.users)
+        accepted = sorted(job_id for job_id in self.oracle.accepted_at if job_id in self.users)
         if available and accepted:
             user = self.users[rng.choice(accepted)]
             final = self.oracle.final_state.get(user.id)
-            # A job that was reported done must stay done when it is cancelled.
+            # A job that was reported as done must still be reported as done after a cancellation.
             user.send_request(
                 RequestKind.CANCEL if final is not None and final[0] == "done" else RequestKind.SUBMIT,
                 rng.choice(available),
             )
         if available:
-            self._impossible_job_count += 1
-            name = f"wk-{900_000 + self._impossible_job_count}"
+            self._invalid_job_count += 1
+            job_id = f"wk-{900_000 + self._invalid_job_count}"
             template = self.users[rng.choice(sorted(self.users))].spec if self.users else {}
             change = rng.choice(INVALID_CHANGES)
-            spec = {**template, "nameId": name, **change}
+            spec = {**template, "nameId": job_id, **change}
             spec = {key: value for key, value in spec.items() if value is not None or key not in change}
-            self.oracle.impossible.add(name)
+            self.oracle.invalid_job_ids.add(job_id)
             user = SimulatedUser(self.sim, self.controllers, self.oracle, spec)
             user.send_request(RequestKind.SUBMIT, rng.choice(available))
         self.sim.call_later(
-            seconds(rng.uniform(0.5, 1.5) * UNUSUAL_REQUEST_INTERVAL_S), lambda: self.send_unusual_requests(until)
+            seconds(rng.uniform(0.5, 1.5) * UNUSUAL_REQUEST_INTERVAL_S), lambda: self.send_unusual_requests(until_s)
         )
--- a/src/gladecroft/lab/growth.py
+++ b/src/gladecroft/lab/growth.py
@@ -1,14 +1,14 @@
-"""Counts what a report, a placement, a submission and a poll cost as the number of machines grows.
+"""Measures how the cost of a report, a placement, a submission and a poll grows with the number of machines.
 
     python -m gladecroft.lab.growth [MACHINES...]
     python -m gladecroft.lab.growth restart [SERVICES...]
 
-The first form simulates the same minute of virtual time at each size and prints a table. Steps are Python calls inside
-the core; requests are those to the simulated state service, and changes are the operations in its commits. The request
-limits of the state service, the teams' limits and the load grow with the number of machines. Nothing depends on a real
-clock, so the counts repeat exactly.
+The first form simulates one minute of virtual time for each number of machines and prints a table. Steps are Python
+calls inside the core, requests are requests to the simulated state service, and changes are the operations in commits.
+The request limits of the state service, the teams' limits and the load are proportional to the number of machines.
+Nothing depends on a real clock, so the counts are reproducible.
 
-The second form stops all controllers at once and prints what their restart costs until each machine has had a reply to
+The second form restarts all controllers at the same time and prints the cost until each machine has received a reply to
 one of its reports.
 """
 
@@ -37,6 +37,7 @@
 up g16 count={half}
 up g16 zone=b count={half}
 """
+#: Costs are counted after the warm-up, in virtual time.
 WARMUP_S, MEASURED_S = 20.0, 60.0
 TEAMS = "tuv"
 
@@ -44,7 +45,7 @@
 class CostCounters:
     """Counts of steps, operations and state requests, kept while ``enabled`` is set.
 
-    ``steps`` and ``operations`` have the kind of the event that a controller handles as their key, such as "report".
+    The keys of ``steps`` and ``operations`` are the kinds of the events that controllers handle, such as "report".
     """
 
     def __init__(self) -> None:
@@ -52,7 +53,7 @@
         self.steps: Counter[str] = Counter()
         self.operations: Counter[str] = Counter()
         self.state_requests: Counter[str] = Counter()
-        #: How often each function of the core was called.
+        #: Number of calls of each function of the core.
         self.calls: Counter[str] = Counter()
 
     def rows_per_operation(self) -> dict[str, float]:
@@ -69,7 +70,7 @@
 
 
 def instrument_controller(controller: SimulatedController, costs: CostCounters) -> None:
-    """Count the steps and the events of a controller's core in ``costs``."""
+    """Wrap a controller's core so that its steps and events are counted in ``costs``."""
     core = controller.core
     assert core is not None
     handle_event, step = core._handle_event, core.step
@@ -82,7 +83,7 @@
             costs.calls[frame.f_code.co_qualname] += 1
 
     def counted_handle_event(event: Event) -> None:
-        kind = kinds.get(event.kind, "asked") if isinstance(event, IncomingRequest) else type(event).__name__
+        kind = kinds.get(event.kind, "other") if isinstance(event, IncomingRequest) else type(event).__name__
         costs.operations[kind] += costs.enabled
         current[0] = kind
         try:
@@ -105,7 +106,7 @@
 def measure_load(machines: int) -> CostCounters:
     """Return the costs of one minute with this number of machines.
 
-    The load consists of arrays of ten tasks, services of four tasks, and polls of their users.
+    The load consists of arrays of ten tasks, services of four tasks, and the polls of the users.
     """
     scale = machines / 60
     text = FLEET_SCENARIO.format(
@@ -162,13 +163,14 @@
 def measure_restart(services: int) -> dict[str, float]:
     """Return the costs of restarting all controllers with this number of unfinished services.
 
-    Each service has four tasks, and there are as many finished jobs.
+    Each service has four tasks. The state service also holds the same number of finished jobs.
     """
     scenario = Scenario(RESTART_SCENARIO.format(half=-(-services // 5)), 1).run()
     for number in range(services):
         words = ["submit", f"wk-{number}", "team=t", "kind=service", "tasks=4", "cpus=1", "spread=yes"]
         scenario.sim.call_at(seconds(2 + number * 0.05), partial(scenario._perform, words))
-    settled_at_s = 2 + services * 0.05 + 80  # machines that were returned as idle before have been rented again
+    # By then, machines that were returned to the cloud as idle have been rented again.
+    settled_at_s = 2 + services * 0.05 + 80
     scenario.sim.run_until(seconds(settled_at_s))
     for number in range(services):
         scenario.state.revision += 1
@@ -200,7 +202,7 @@
         for controller in scenario.controllers:
             if controller.core is not None:
                 replied |= {
-                    machine.id for machine in controller.core.machine_manager.machines.values() if machine.answered_at
+                    machine.id for machine in controller.core.machine_manager.machines.values() if machine.last_reply_at
                 }
         if replied and "s to the first reply" not in rows:
             rows["s to the first reply"] = scenario.sim.elapsed() - started_at_s
--- a/src/gladecroft/lab/live_table.py
+++ b/src/gladecroft/lab/live_table.py
@@ -1,4 +1,4 @@
-"""Shows snapshots of the loopback cluster: a live table by ``rich``, or one line each if stdout is no terminal."""
+"""Shows snapshots of the loopback cluster: a live table (``rich``), or one line per snapshot without a terminal."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class LiveTable:
-    """Shows one snapshot after another."""
+    """Shows the latest snapshot."""
 
     def __init__(self) -> None:
         self._console = Console()
@@ -21,7 +21,7 @@
             self._live.start()
 
     def show(self, snapshot: dict[str, Any]) -> None:
-        """Replace the table, or print a line."""
+        """Replace the table, or print one line if stdout is not a terminal."""
         if self._console.is_terminal:
             self._live.update(_render(snapshot), refresh=True)
         else:
--- a/src/gladecroft/lab/loopback.py
+++ b/src/gladecroft/lab/loopback.py
@@ -1,7 +1,7 @@
-"""A cluster over real HTTP on the loopback interface, in real time.
+"""A cluster that communicates over HTTP on the loopback interface, in real time.
 
-The simulated cloud, state service, workers and users run in one process with the real controllers, which can be killed
-and restarted.
+The simulated cloud, state service, workers and users run in one process with the real controllers. Controllers can be
+killed and restarted.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 Json = dict[str, Any]
 
 HOST = "127.0.0.1"
-#: How often the simulation is advanced to the real time.
+#: Interval at which the simulation is advanced to the real time.
 STEP_INTERVAL_S = 0.005
 TEAMS: list[Json] = [
     {"name": "kitchen", "cpus": 32.0, "cpus_max": 96.0},
@@ -46,11 +46,11 @@
 
 
 class LoopbackError(Exception):
-    """The cluster can't be started; the message says why."""
+    """The cluster cannot be started; the message gives the cause."""
 
 
 def free_port() -> int:
-    """A port that was free at the time of the call."""
+    """Return a port that was free at the time of the call."""
     with socket.socket() as probe:
         probe.bind((HOST, 0))
         port: int = probe.getsockname()[1]
@@ -58,7 +58,7 @@
 
 
 def _as_handler(serve: Callable[[Request, ReplyCallback], None]) -> Handler:
-    """An HTTP handler for a simulated service, which replies through a callback at any later time."""
+    """Return an HTTP handler for a simulated service, which replies through a callback at any later time."""
 
     async def handle(request: Request) -> Response:
         done = anyio.Event()
@@ -76,7 +76,7 @@
 
 
 class LoopbackController:
-    """A controller's address, to which users and workers send their requests, and the controller while it runs."""
+    """A controller that can be killed and restarted, and the address at which users and workers reach it."""
 
     def __init__(self, name: str, platform: PlatformSettings, client: Client, group: anyio.abc.TaskGroup) -> None:
         self.name = name
@@ -91,7 +91,7 @@
         self._addr = (host, int(port))
 
     async def run(self, operator_settings: OperatorSettings) -> None:
-        """Serve until ``kill`` is called. ``LoopbackError`` if one of its ports is in use."""
+        """Serve until ``kill`` is called. Raise ``LoopbackError`` if a port of the controller is in use."""
         self.start_count += 1
         self.service = ControllerService(self.platform, operator_settings)
 
@@ -109,18 +109,18 @@
         self.alive, self.service = False, None
 
     def kill(self) -> None:
-        """Stop the controller as a crash does: it sends nothing more and all its connections break."""
+        """Simulate a crash: the controller stops sending, and all its connections break."""
         self.alive = False
         if self._scope is not None:
             self._scope.cancel()
 
-    def handle_request(self, kind: RequestKind, body: bytes, job: str, on_reply: Callable[[Reply], None]) -> None:
+    def handle_request(self, kind: RequestKind, body: bytes, job_id: str, on_reply: Callable[[Reply], None]) -> None:
         """Send the request over HTTP. ``on_reply`` is not called if the connection fails or times out."""
         method, path = {
             RequestKind.REPORT: ("POST", wire.REPORT_PATH),
             RequestKind.SUBMIT: ("POST", wire.SUBMIT_PATH),
-            RequestKind.POLL: ("GET", f"{wire.SUBMIT_PATH}/{job}"),
-            RequestKind.CANCEL: ("POST", f"{wire.SUBMIT_PATH}/{job}/{wire.CANCEL_SUFFIX}"),
+            RequestKind.POLL: ("GET", f"{wire.SUBMIT_PATH}/{job_id}"),
+            RequestKind.CANCEL: ("POST", f"{wire.SUBMIT_PATH}/{job_id}/{wire.CANCEL_SUFFIX}"),
         }[kind]
 
         async def send() -> None:
@@ -132,7 +132,7 @@
 
 
 class LoopbackCluster:
-    """Two zones, two teams and any number of controllers. Boot and run times are divided by ``speed``."""
+    """A cluster of two zones, two teams and any number of controllers. Boot and run times are divided by ``speed``."""
 
     def __init__(self, seed: int, controller_count: int, speed: float = 1.0, base_port: int = 0) -> None:
         self.sim = Simulation(seed)
@@ -153,7 +153,7 @@
         self.controllers: list[LoopbackController] = []
         self._controller_count = controller_count
         self._base_port = base_port
-        self._next_job = 1
+        self._next_job_number = 1
         self._group: anyio.abc.TaskGroup
         self._client = Client(32, timedelta(seconds=1))
         self.kill_count = 0
@@ -161,7 +161,7 @@
     # Sockets -------------------------------------------------------------------------------------------------
 
     async def start(self, group: anyio.abc.TaskGroup, operator_settings: OperatorSettings) -> None:
-        """Start the simulated services and the controllers. ``LoopbackError`` if a port is in use."""
+        """Start the simulated services and the controllers. Raise ``LoopbackError`` if a port is in use."""
         self._group = group
         group.start_soon(self._advance_simulation)
         state = await self._listen(self._serve_state)
@@ -234,10 +234,10 @@
     # Actions -------------------------------------------------------------------------------------------------
 
     def submit(self) -> None:
-        """Submit the next job of a small mixed load: batch jobs, and a service in every eight."""
+        """Submit the next job of a small mixed load: every eighth job is a service, the others are batch jobs."""
         rng = self.sim.rng
-        number = self._next_job
-        self._next_job += 1
+        number = self._next_job_number
+        self._next_job_number += 1
         service = number % 8 == 1
         run_time = rng.uniform(3, 12) / self.speed
         spec: Json = {
@@ -250,17 +250,20 @@
             "snapshotS": 0.0 if service else 2.0, "stashS": 0.0 if service else 0.5, "dueS": None, "runS": run_time,
             "broken": False,
         }  # fmt: skip
-        job = spec["nameId"]
-        self.jobs[job] = spec
-        user = self.users[job] = SimulatedUser(self.sim, self.controllers, self.oracle, spec)
-        self.oracle.submit_sent(job)
+        job_id = spec["nameId"]
+        self.jobs[job_id] = spec
+        user = self.users[job_id] = SimulatedUser(self.sim, self.controllers, self.oracle, spec)
+        self.oracle.submit_sent(job_id)
         user.submit()
         if service:
-            # Services end after a while, so that the number of machines changes.
+            # Services are cancelled after a while, so that the number of machines changes.
             self.sim.call_later(seconds(40 / self.speed), user.cancel)
 
     async def kill_random_controller(self, operator_settings: OperatorSettings, downtime: timedelta) -> str:
-        """Kill one of the running controllers and restart it after the downtime; its name, or "" if none runs."""
+        """Kill a random running controller and restart it after the downtime.
+
+        Return the controller's name, or "" if no controller runs.
+        """
         alive = [controller for controller in self.controllers if controller.alive]
         if not alive:
             return ""
@@ -278,10 +281,10 @@
     # Snapshot ------------------------------------------------------------------------------------------------
 
     def snapshot(self) -> Json:
-        """The current jobs by state, machines, controllers and rule violations."""
+        """Return the current jobs by state, machines, controllers and rule violations."""
         reported = self.oracle.reported_state
         states = Counter(
-            reported.get(job, "refused" if self._is_refused(job) else "not accepted yet") for job in self.jobs
+            reported.get(job_id, "refused" if self._is_rejected(job_id) else "not accepted yet") for job_id in self.jobs
         )
         machines = [worker for worker in self.cloud.machines.values() if worker.up]
         running = sum(bool(places) for places in self.oracle.running_on.values())
@@ -306,8 +309,8 @@
             "broken_rules": list(self.oracle.violations),
         }
 
-    def _is_refused(self, job: str) -> bool:
-        return any(status in (400, 422) for _, _, status, _ in self.users[job].responses)
+    def _is_rejected(self, job_id: str) -> bool:
+        return any(status in (400, 422) for _, _, status, _ in self.users[job_id].responses)
 
     def _controller_snapshot(self, controller: LoopbackController) -> Json:
         view = controller.service.core.view() if controller.alive and controller.service is not None else None
--- a/src/gladecroft/lab/placeable_jobs.py
+++ b/src/gladecroft/lab/placeable_jobs.py
@@ -1,6 +1,6 @@
-"""Finds the pending jobs that fit into the free capacity.
+"""Finds the queued jobs that fit into the free capacity.
 
-The oracle reports a violation if the scheduler leaves such a job pending for too long.
+The oracle reports a violation if the scheduler leaves such a job queued for too long.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     free_memory_gb: float
 
     def fits(self, spec: Json) -> bool:
-        """Return whether a task of this job may run on the machine and fits."""
+        """Return whether a task of the job is allowed on the machine and fits into its free capacity."""
         machine_types, zone = spec["flavors"], spec["district"]
         return (
             self.free_cpus >= spec["cores"] - 1e-9
@@ -41,10 +41,10 @@
 
 
 def find_placeable_jobs(workers: Iterable[SimulatedWorker], jobs: Mapping[str, Json], oracle: Oracle) -> set[str]:
-    """Return the accepted jobs with a pending task that fits on a machine and within the limit of its team.
+    """Return the accepted jobs with a queued task that fits on a machine and within the limit of its team.
 
-    All pending tasks of a gang have to fit at once. Jobs whose tasks fail on every machine are left out, and so
-    are machines that are down, hang, fail their tasks or are being reclaimed.
+    All queued tasks of a gang have to fit at once. Jobs whose tasks fail on every machine are left out. Machines that
+    are down, hang, fail their tasks or are being reclaimed count as having no capacity.
     """
     zones_by_task: dict[tuple[str, int], str] = {}
     capacities: list[FreeCapacity] = []
@@ -62,34 +62,36 @@
                 )
             )
     used_cpus: dict[str, float] = {}
-    for job, _ in zones_by_task:
-        used_cpus[jobs[job]["owner"]] = used_cpus.get(jobs[job]["owner"], 0.0) + jobs[job]["cores"]
+    for job_id, _ in zones_by_task:
+        used_cpus[jobs[job_id]["owner"]] = used_cpus.get(jobs[job_id]["owner"], 0.0) + jobs[job_id]["cores"]
     return {
-        job
-        for job in oracle.accepted_at
-        if job in jobs
-        and not jobs[job]["broken"]
-        and _is_placeable(job, jobs[job], zones_by_task, capacities, oracle, used_cpus.get(jobs[job]["owner"], 0.0))
+        job_id
+        for job_id in oracle.accepted_at
+        if job_id in jobs
+        and not jobs[job_id]["broken"]
+        and _is_placeable(
+            job_id, jobs[job_id], zones_by_task, capacities, oracle, used_cpus.get(jobs[job_id]["owner"], 0.0)
+        )
     }
 
 
 def _is_placeable(
-    job: str,
+    job_id: str,
     spec: Json,
     zones_by_task: Mapping[tuple[str, int], str],
     capacities: list[FreeCapacity],
     oracle: Oracle,
     used_cpus: float,
 ) -> bool:
-    """Return whether a pending task of the job, or all pending tasks of a gang, can be placed now."""
-    done = oracle.completed_tasks.get(job, set())
-    pending = [
-        number for number in range(spec["portions"]) if number not in done and (job, number) not in zones_by_task
+    """Return whether a queued task of the job, or all queued tasks of a gang, can be placed now."""
+    done = oracle.completed_tasks.get(job_id, set())
+    queued = [
+        number for number in range(spec["portions"]) if number not in done and (job_id, number) not in zones_by_task
     ]
-    count = len(pending) if spec["shape"] == "group" else 1
-    if not pending or used_cpus + count * spec["cores"] > oracle.limits[spec["owner"]] + 1e-6:
+    count = len(queued) if spec["shape"] == "group" else 1
+    if not queued or used_cpus + count * spec["cores"] > oracle.team_limits[spec["owner"]] + 1e-6:
         return False
-    zones = [zone for (name, _), zone in zones_by_task.items() if name == job]
+    zones = [zone for (other_id, _), zone in zones_by_task.items() if other_id == job_id]
     zone_limit = (spec["portions"] + 1) // 2
     for required_zone in sorted({capacity.worker.zone for capacity in capacities}) if spec["oneZone"] else [None]:
         if required_zone is not None and zones and required_zone not in zones:
--- a/src/gladecroft/lab/scenario.py
+++ b/src/gladecroft/lab/scenario.py
@@ -1,4 +1,10 @@
-"""Parses a scenario file (``tests/scenarios/README`` describes the commands) and runs it in the simulation."""
+"""Parses a scenario file and runs it in the simulation.
+
+``tests/scenarios/README`` describes the commands. Some scenario words differ from the terms of the code: a node is a
+controller, siblings are the other controllers, an odd request is an unusual one, close looks are concurrent polls, a
+sick machine is faulty, messages to a deaf machine are lost, and so are messages from a mute controller to machines and
+reports of a mute machine.
+"""
 
 from __future__ import annotations
 
@@ -36,13 +42,13 @@
 
 
 class ScenarioError(Exception):
-    """The scenario is invalid; the message names the line and the word."""
+    """The scenario is invalid; the message gives the line and the cause."""
 
 
 _JOB_OPTIONS = (
     "team kind priority tasks cpus memory image gb zone one_zone spread spot run checkpoint save broken times"
 )
-#: The options of each action.
+#: Options of each action.
 ACTIONS: dict[str, set[str]] = {
     action: set(words.split())
     for action, words in {
@@ -60,7 +66,7 @@
 }  # fmt: skip
 #: Actions that inject no fault.
 HARMLESS_ACTIONS = {"submit", "cancel", "cordon", "ask", "cancel-at-end", "odd", "close-looks", "quick-boots"}
-#: The options of each other command.
+#: Options of each other command (None: not checked here).
 SETTING_OPTIONS: dict[str, set[str] | None] = {
     "nodes": set(),
     "team": {"cpus", "max"},
@@ -72,7 +78,9 @@
 }
 
 
+#: Options with the values yes and no.
 FLAG_OPTIONS = {"spot", "one_zone", "spread", "broken", "direct", "lift", "answers", "at_once", "next"}
+#: Options with values from 0 to 1.
 FRACTION_OPTIONS = {"share", "lose", "cancels"}
 
 
@@ -89,9 +97,9 @@
             )
 
 
-def _job_names(first: str, options: Options) -> list[str]:
-    """The names of the jobs of one action: as many as its option ``times`` says."""
-    return [f"{first}{index:03d}" if index else first for index in range(int(options.get("times", "1")))]
+def _job_ids(first_id: str, options: Options) -> list[str]:
+    """Return the ids of the jobs of one action; its option ``times`` gives their number."""
+    return [f"{first_id}{index:03d}" if index else first_id for index in range(int(options.get("times", "1")))]
 
 
 def _parse_words(words: list[str]) -> tuple[list[str], Options]:
@@ -102,7 +110,7 @@
 
 
 class Scenario:
-    """A simulated cluster, and the lines of a scenario that set it up, act on it and check it."""
+    """A simulated cluster and the scenario that sets it up, performs actions on it and checks expectations."""
 
     def __init__(self, text: str, seed: int) -> None:
         self.sim = Simulation(seed)
@@ -117,7 +125,7 @@
         self._state_limits: Json = dict(PLATFORM_SETTINGS["state"])
         self._memory_mb = 256.0
         self._initial_machines: list[tuple[str, str, bool, int]] = []
-        #: Expectations that did not hold, with the values found.
+        #: Expectations that did not hold, with the actual values.
         self.unmet_expectations: list[str] = []
         self.evictions = 0
         #: Statuses of the replies to cordon commands.
@@ -127,7 +135,7 @@
         self._lines = [(number, line) for number, line in enumerate(lines, 1) if line]
 
     def run(self) -> Scenario:
-        """Run all lines. ``ScenarioError`` if one is invalid; failed expectations are collected."""
+        """Run all lines and collect the expectations that do not hold. Raise ``ScenarioError`` if a line is invalid."""
         setting_lines = [
             (number, line)
             for number, line in self._lines
@@ -136,7 +144,7 @@
         other_lines = [(number, line) for number, line in self._lines if (number, line) not in setting_lines]
         for number, line in setting_lines:
             self._handle_line(number, line, self._apply_setting)
-        self._build()
+        self._build_cluster()
         for number, line in other_lines:
             self._current_line = (number, line)
             self._handle_line(number, line, self._run_line)
@@ -178,7 +186,7 @@
         else:
             self._state_limits.update({key: msgspec.json.decode(value) for key, value in options.items()})
 
-    def _build(self) -> None:
+    def _build_cluster(self) -> None:
         sim = self.sim
         self.oracle = Oracle(self.jobs, self.team_limits, PLATFORM_SETTINGS["workers"]["cancel_s"], sim.elapsed)
         self.state = SimulatedStateService(sim, self._state_limits["rps"], self._state_limits["write_rps"])
@@ -219,11 +227,11 @@
             self.cloud.machines.values(), self.jobs, self.oracle
         )
 
-        def sweep() -> None:
+        def check_every_second() -> None:
             self.oracle.check_time_limits()
-            sim.call_later(seconds(1), sweep)
+            sim.call_later(seconds(1), check_every_second)
 
-        sweep()
+        check_every_second()
 
     # Actions
 
@@ -255,8 +263,8 @@
         else:
             raise ValueError(f"unknown word {keyword!r}")
 
-    def _controller(self, name: str) -> SimulatedController:
-        """The controller of this name; ``leader`` is the current leader, ``follower`` the first other member."""
+    def _find_controller(self, name: str) -> SimulatedController:
+        """Return the controller of this name; ``leader`` is the current leader, ``follower`` the first other member."""
         if name == "leader":
             epoch = self.state.entries["g/epoch"][0]
             name = epoch["leader"]
@@ -268,8 +276,8 @@
                 return controller
         raise ValueError(f"no controller {name!r}")
 
-    def _worker(self, name: str) -> SimulatedWorker:
-        """The worker with this number; ``busiest`` is the one with the most tasks."""
+    def _find_worker(self, name: str) -> SimulatedWorker:
+        """Return the worker with this number; ``busiest`` is the one with the most tasks."""
         if name == "busiest":
             return max(self.cloud.machines.values(), key=lambda worker: (len(worker.tasks), worker.name))
         worker = self.cloud.machines.get(f"m-{int(name):06d}")
@@ -278,13 +286,13 @@
         return worker
 
     def _perform(self, words: list[str]) -> None:
-        """Carry out an action; faults last for the time that its option ``for`` says."""
+        """Perform an action. The option ``for`` is the duration of a fault in seconds."""
         args, options = _parse_words(words)
         action = args[0]
         duration = seconds(float(options.get("for", "0")))
         until = self.sim.elapsed() + duration.total_seconds()
         if action not in HARMLESS_ACTIONS:
-            # Duplicate reports and delayed requests arrive after the action has ended.
+            # Duplicate reports and delayed requests may arrive after the end of the action.
             later = (
                 float(options.get("late", "0"))
                 + float(options.get("hang", "0"))
@@ -292,45 +300,48 @@
             )
             self.oracle.extend_failures(until + later)
         if action == "submit":
-            for name in _job_names(args[1], options):
-                self._submit(name, options)
+            for job_id in _job_ids(args[1], options):
+                self._submit(job_id, options)
         elif action == "cancel":
             if args[1] not in self.users:
                 raise ValueError(f"no job {args[1]!r} at that time")
             self.users[args[1]].cancel()
         elif action == "crash":
             for name in args[1:]:
-                for controller in self.controllers if name == "all" else [self._controller(name)]:
+                for controller in self.controllers if name == "all" else [self._find_controller(name)]:
                     controller.crash()
                     self.sim.call_later(duration, controller.start)
         elif action == "cut":
-            controller_name = self._controller(args[1]).name
+            controller_name = self._find_controller(args[1]).name
             others = args[2:]
             if "siblings" in others:
                 others += [controller.name for controller in self.controllers if controller.name != controller_name]
 
-            def matches(one: str, other: str) -> bool:
-                if controller_name not in (one, other):
+            def separates(source: str, target: str) -> bool:
+                if controller_name not in (source, target):
                     return False
-                peer = other if one == controller_name else one
-                group = "workers" if peer.startswith("m-") else "users" if peer == "user" else peer
+                host = target if source == controller_name else source
+                group = "workers" if host.startswith("m-") else "users" if host == "user" else host
                 return group in others or "all" in others
 
-            self.sim.partition(matches, options.get("mode", "lose"), duration)
+            self.sim.partition(separates, options.get("mode", "lose"), duration)
         elif action == "cut-machine":
-            name = self._worker(args[1]).name
-            self.sim.partition(lambda one, other: name in (one, other), options.get("mode", "lose"), duration)
+            name = self._find_worker(args[1]).name
+            self.sim.partition(lambda source, target: name in (source, target), options.get("mode", "lose"), duration)
         elif action == "cut-zone":
-            # The zone's machines and the given controllers reach only each other: no state service, cloud or user.
+            # The zone's machines and the given controllers reach only each other, not the other controllers, the state
+            # service, the cloud or the users.
             if args[1] not in PLATFORM_SETTINGS["zones"]:
                 raise ValueError(f"no zone {args[1]!r}")
-            zone, inside = args[1], {self._controller(name).name for name in args[2:]}
+            zone, inside = args[1], {self._find_controller(name).name for name in args[2:]}
 
             def within(name: str) -> bool:
                 worker = self.cloud.machines.get(name)
                 return name in inside or worker is not None and worker.zone == zone
 
-            self.sim.partition(lambda one, other: within(one) != within(other), options.get("mode", "lose"), duration)
+            self.sim.partition(
+                lambda source, target: within(source) != within(target), options.get("mode", "lose"), duration
+            )
         elif action == "island":
             self._perform(["cut", args[1], "state", "siblings", f"for={options['for']}"])
         elif action == "deaf":
@@ -340,13 +351,13 @@
                 for worker in workers:
                     self._drop_commands(worker, duration)
             else:
-                self.sim.partition(lambda one, other: other in names, "lose", duration)
+                self.sim.partition(lambda source, target: target in names, "lose", duration)
         elif action == "mute":
-            # Its messages reach no machine, while it still receives their reports.
-            sender = self._controller(args[1]).name
-            self.sim.partition(lambda one, other: one == sender and other.startswith("m-"), "lose", duration)
+            # The controller's messages reach no machine, while it still receives the machines' reports.
+            sender = self._find_controller(args[1]).name
+            self.sim.partition(lambda source, target: source == sender and target.startswith("m-"), "lose", duration)
         elif action == "mute-machine":
-            # Its reports are lost; commands that are sent to its address arrive and are answered.
+            # The worker's reports are lost; commands that are sent to its address arrive and are answered.
             for worker in self._select_workers(args[1:], options):
                 worker.reports_lost_until = max(worker.reports_lost_until, self.sim.now + duration)
         elif action == "cancel-now":
@@ -369,26 +380,26 @@
             self.sim.call_later(duration, lambda: self._set_duplicate_reports(0.0, 0.0))
         elif action == "reboot":
             for name in args[1:]:
-                self._worker(name).reboot(duration)
+                self._find_worker(name).reboot(duration)
         elif action == "freeze":
             for name in args[1:]:
-                self._controller(name).freeze(duration)
+                self._find_controller(name).freeze(duration)
         elif action == "down":
-            # Without power, so that peers and workers see timeouts instead of refused connections.
+            # Simulates a power loss: peers and workers see timeouts instead of refused connections.
             for name in args[1:]:
-                controller_name = self._controller(name).name
+                controller_name = self._find_controller(name).name
                 self._perform(["cut", controller_name, "all", f"for={options['for']}"])
                 self._perform(["crash", controller_name, f"for={options['for']}"])
         elif action == "hang":
-            self._worker(args[1]).hang(duration)
+            self._find_worker(args[1]).hang(duration)
         elif action == "die":
-            self._worker(args[1]).terminate(failed=True)
+            self._find_worker(args[1]).terminate(failed=True)
         elif action == "sick":
-            self._worker(args[1]).faulty = True
+            self._find_worker(args[1]).faulty = True
         elif action == "slow":
-            self._worker(args[1]).slowdown = float(options["factor"])
+            self._find_worker(args[1]).slowdown = float(options["factor"])
         elif action == "notice":
-            worker = self._worker(args[1])
+            worker = self._find_worker(args[1])
             worker.reclaim_at = self.sim.now + duration
             worker._request_report()
             self.sim.call_later(duration, lambda: self.cloud.remove(worker.name))
@@ -396,9 +407,9 @@
             self.state.set_outage(True)
             self.sim.call_later(duration, lambda: self.state.set_outage(False))
         elif action == "refuse":
-            controller_name = self._controller(args[1]).name
-            self.state.refused_controllers.add(controller_name)
-            self.sim.call_later(duration, lambda: self.state.stop_refusing(controller_name))
+            controller_name = self._find_controller(args[1]).name
+            self.state.rejected_controllers.add(controller_name)
+            self.sim.call_later(duration, lambda: self.state.stop_rejecting(controller_name))
         elif action == "cloud-outage":
             self.cloud.outage = True
             self.sim.call_later(duration, lambda: setattr(self.cloud, "outage", False))
@@ -419,7 +430,7 @@
         elif action == "held":
             for name in args[1:]:
                 self._delay_commands(
-                    self._worker(name), seconds(float(options["by"])), options.get("answers") == "yes", duration
+                    self._find_worker(name), seconds(float(options["by"])), options.get("answers") == "yes", duration
                 )
         elif action == "forget-log":
             self.state.max_log_entries = 0
@@ -434,7 +445,7 @@
             command = operators.CordonRequest(
                 operators.CordonScope(args[1]), args[2], options.get("why", ""), "", until, options.get("lift") == "yes"
             )
-            controller = self._controller(options.get("node", "n0"))
+            controller = self._find_controller(options.get("node", "n0"))
             controller.handle_request(
                 RequestKind.CHANGE_CORDON,
                 msgspec.json.encode(command),
@@ -442,8 +453,8 @@
                 lambda reply: self.cordon_statuses.append(reply.status),
             )
         elif action == "ask":
-            for name in _job_names(args[1], options):
-                SimulatedUser(self.sim, self.controllers, self.oracle, {"nameId": name}).poll()
+            for job_id in _job_ids(args[1], options):
+                SimulatedUser(self.sim, self.controllers, self.oracle, {"nameId": job_id}).poll()
         else:
             raise ValueError(f"unknown deed {action!r}")
 
@@ -452,13 +463,13 @@
             worker.duplicate_reports = (share, max_delay_s)
 
     def _delay_commands(
-        self, worker: SimulatedWorker, delay: timedelta, delay_responses: bool, duration: timedelta
+        self, worker: SimulatedWorker, delay: timedelta, delay_replies: bool, duration: timedelta
     ) -> None:
-        """Delay commands that are sent to the worker's address, or only the responses to them."""
+        """Delay commands that are sent to the worker's address, or only its replies to them."""
         serve = worker.serve
 
         def delayed(node: str, method: str, path: str, body: bytes, reply: ReplyCallback) -> None:
-            if delay_responses:
+            if delay_replies:
                 serve(node, method, path, body, lambda *response: self.sim.call_later(delay, lambda: reply(*response)))
             else:
                 self.sim.call_later(delay, lambda: serve(node, method, path, body, reply))
@@ -466,14 +477,14 @@
         self._intercept(worker, duration, delayed)
 
     def _drop_commands(self, worker: SimulatedWorker, duration: timedelta) -> None:
-        """Drop commands that are sent to the worker's address; responses to its reports still arrive."""
+        """Drop commands that are sent to the worker's address; replies to its reports still arrive."""
         self._intercept(worker, duration, lambda *request: None)
 
     def _intercept(self, worker: SimulatedWorker, duration: timedelta, handler: Callable[..., None]) -> None:
-        """Pass what is sent to the worker's address to the handler for a while.
+        """Pass requests to the worker's address to the handler for the duration.
 
-        The replacement expires by time instead of being undone: when two overlapped, restoring the saved method in the
-        order in which they began left the first in force permanently.
+        The replacement method checks the time and is never removed: when two replacements overlapped, restoring the
+        saved methods in the order in which they were installed left the first replacement in place permanently.
         """
         serve, until = worker.serve, self.sim.now + duration
 
@@ -482,11 +493,11 @@
 
         worker.serve = intercepted  # type: ignore[method-assign]
 
-    def _submit(self, name: str, options: Options) -> None:
-        """Submit a job, or submit it again under a name that is known already."""
+    def _submit(self, job_id: str, options: Options) -> None:
+        """Submit a job, or submit it again if its id is already known."""
         job_kind = options.get("kind", "batch")
         spec: Json = {
-            "nameId": name, "cohort": "c", "owner": options["team"], "shape": job_kind,
+            "nameId": job_id, "cohort": "c", "owner": options["team"], "shape": job_kind,
             "urgency": options.get("priority", "production" if job_kind == "service" else "normal"),
             "portions": int(options.get("tasks", "1")), "cores": float(options.get("cpus", "1")), "cards": 0.0,
             "memoryGb": float(options.get("memory", "1")), "recipe": options.get("image", "i"),
@@ -496,17 +507,17 @@
             "snapshotS": float(options.get("checkpoint", "0")), "stashS": float(options.get("save", "0")), "dueS": None,
             "runS": float(options.get("run", "20")), "broken": options.get("broken") == "yes",
         }  # fmt: skip
-        user = self.users.get(name)
+        user = self.users.get(job_id)
         if user is None:
-            self.jobs[name] = spec
-            user = self.users[name] = SimulatedUser(self.sim, self.controllers, self.oracle, spec)
-        self.oracle.submit_sent(name)
+            self.jobs[job_id] = spec
+            user = self.users[job_id] = SimulatedUser(self.sim, self.controllers, self.oracle, spec)
+        self.oracle.submit_sent(job_id)
         user.submit()
 
     def _select_workers(self, names: list[str], options: Options) -> list[SimulatedWorker]:
-        """The workers with these names, and as many of the busiest ones as the option ``count`` says."""
+        """Return the workers with these numbers and, according to the option ``count``, the busiest workers."""
         busiest = sorted(self.cloud.machines.values(), key=lambda worker: (-len(worker.tasks), worker.name))
-        return [self._worker(name) for name in names] + busiest[: int(options.get("count", "0"))]
+        return [self._find_worker(name) for name in names] + busiest[: int(options.get("count", "0"))]
 
     # Expectations
 
@@ -537,7 +548,7 @@
             ok = _compare(count, args[2], float(args[3]))
             message += f" (were {count})"
         elif args[0] == "ghosts":
-            # Tasks that the records place on machines that no longer exist.
+            # Counts tasks that the records place on machines that no longer exist.
             rows = [
                 row for key, entry in self.state.entries.items() if key.startswith("g/p/") for row in entry[0]["tasks"]
             ]
@@ -545,7 +556,7 @@
             ok = _compare(ghosts, args[1], float(args[2]))
             message += f" (are {ghosts})"
         elif args[0] == "silence":
-            # The longest time without a response about a job after the last injected fault.
+            # Compares the longest time without a response about a job after the last injected fault.
             longest = max(self.oracle.longest_unanswered_s.values(), default=0.0)
             ok = _compare(longest, args[1], float(args[2]))
             message += f" (was {longest:.1f})"
@@ -569,27 +580,27 @@
         if not ok:
             self.unmet_expectations.append(message)
 
-    def _job_meets(self, name: str, user: SimulatedUser, args: list[str], options: Options) -> bool:
-        starts = [start for start in self.oracle.starts if start[1][0] == name]
+    def _job_meets(self, job_id: str, user: SimulatedUser, args: list[str], options: Options) -> bool:
+        starts = [start for start in self.oracle.starts if start[1][0] == job_id]
         match args[0]:
             case "done":
-                done_at = self.oracle.done_at.get(name)
-                return self.oracle.reported_state.get(name) == "done" and (
+                done_at = self.oracle.done_at.get(job_id)
+                return self.oracle.reported_state.get(job_id) == "done" and (
                     "by" not in options or (done_at is not None and done_at <= float(options["by"]))
                 )
             case "aborted":
-                return self.oracle.reported_state.get(name) == "aborted"
+                return self.oracle.reported_state.get(job_id) == "aborted"
             case "told":
-                return self.oracle.reported_state.get(name) == args[1]
+                return self.oracle.reported_state.get(job_id) == args[1]
             case "status":
                 return any(status == int(args[1]) for _, _, status, _ in user.responses)
             case "starts":
                 return _compare(len(starts), args[1], float(args[2]))
             case "running":
-                running = sum(1 for key, places in self.oracle.running_on.items() if key[0] == name and places)
+                running = sum(1 for key, places in self.oracle.running_on.items() if key[0] == job_id and places)
                 return _compare(running, args[1], float(args[2]))
             case "started":
-                return len(starts) >= self.jobs[name]["portions"] and starts[-1][0] <= float(options["by"])
+                return len(starts) >= self.jobs[job_id]["portions"] and starts[-1][0] <= float(options["by"])
             case "zone":
                 return {self.oracle.zones[start[2]] for start in starts} == {args[1]}
             case "reason":
@@ -604,5 +615,5 @@
 
 
 def play(path: Path, seed: int) -> Scenario:
-    """Run a scenario file."""
+    """Run a scenario file and return the finished scenario."""
     return Scenario(path.read_text(encoding="utf-8"), seed).run()
--- a/src/gladecroft/lab/simulation.py
+++ b/src/gladecroft/lab/simulation.py
@@ -1,4 +1,4 @@
-"""Discrete-event simulation: virtual time, the network between hosts, and the controllers that run in it."""
+"""A discrete-event simulation: virtual time, the network between hosts, and controllers that run in it."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def seconds(value: float) -> timedelta:
-    """A duration of so many seconds."""
+    """Return a duration of ``value`` seconds."""
     return timedelta(seconds=value)
 
 
@@ -49,11 +49,11 @@
         self._sequence = itertools.count()
         #: Upper bound of the latency that is added to each message.
         self.max_extra_latency = timedelta()
-        #: Per partition: which pairs of hosts it separates, its mode and the messages it holds back.
+        #: For each partition: whether it separates two hosts, its mode and the messages that it holds back.
         self._partitions: list[tuple[Callable[[str, str], bool], str, list[Callable[[], None]]]] = []
 
     def elapsed(self) -> float:
-        """Seconds of virtual time since the start."""
+        """Return the virtual time since the start, in seconds."""
         return (self.now - self.start_time).total_seconds()
 
     def call_later(self, delay: timedelta, callback: Callable[[], None]) -> None:
@@ -61,7 +61,7 @@
         heapq.heappush(self._heap, (self.now + delay, next(self._sequence), callback))
 
     def call_at(self, offset: timedelta, callback: Callable[[], None]) -> None:
-        """Run the callback when so much time has passed since the start, or at once if it has passed already."""
+        """Run the callback at this time since the start, or immediately if the time has passed."""
         heapq.heappush(self._heap, (max(self.now, self.start_time + offset), next(self._sequence), callback))
 
     def run_until(self, offset: timedelta) -> None:
@@ -73,14 +73,16 @@
         self.now = end
 
     def latency(self) -> timedelta:
-        """A random network latency for one message."""
+        """Return a random network latency for one message."""
         base = seconds(self.rng.uniform(0.0005, 0.004))
         return base + self.max_extra_latency * self.rng.random() if self.max_extra_latency else base
 
-    def partition(self, matches: Callable[[str, str], bool], mode: str, duration: timedelta) -> None:
-        """Separate the pairs of hosts that match. Mode ``hold`` delivers their messages when the partition ends, any
-        other mode drops them."""
-        partition = (matches, mode, list[Callable[[], None]]())
+    def partition(self, separates: Callable[[str, str], bool], mode: str, duration: timedelta) -> None:
+        """Separate hosts for the duration; ``separates`` tells whether a message from a source to a target is affected.
+
+        Mode ``hold`` delivers the affected messages when the partition ends, any other mode drops them.
+        """
+        partition = (separates, mode, list[Callable[[], None]]())
         self._partitions.append(partition)
 
         def heal() -> None:
@@ -90,22 +92,22 @@
 
         self.call_later(duration, heal)
 
-    def reachable(self, one: str, other: str) -> bool:
-        """Whether no partition separates the two hosts."""
-        return not any(matches(one, other) for matches, _, _ in self._partitions)
+    def reachable(self, source: str, target: str) -> bool:
+        """Return whether no partition separates the two hosts."""
+        return not any(separates(source, target) for separates, _, _ in self._partitions)
 
     def send(self, source: str, target: str, deliver: Callable[[], None]) -> None:
-        """Deliver a message after a random latency; if a partition separates the hosts, lose it or hold it back."""
-        for matches, mode, delayed in self._partitions:
-            if matches(source, target):
+        """Deliver a message after a random latency; if a partition separates the hosts, drop it or hold it back."""
+        for separates, mode, held in self._partitions:
+            if separates(source, target):
                 if mode == "hold":
-                    delayed.append(deliver)
+                    held.append(deliver)
                 return
         self.call_later(self.latency(), deliver)
 
 
 class SimulatedController:
-    """Runs a controller's core and carries out its calls, timeouts included. Has no core while it is down."""
+    """Runs a controller's core and performs its calls, including their timeouts. ``core`` is None while it is down."""
 
     def __init__(self, sim: Simulation, platform: PlatformSettings, operator_settings: OperatorSettings) -> None:
         self.sim = sim
@@ -130,7 +132,7 @@
         return self.core is not None
 
     def start(self) -> None:
-        """Start with an empty core, as a new process does."""
+        """Start with an empty core, like a new process."""
         self.run_number += 1
         self.core = Core(self.platform, self.operator_settings)
         self._reply_callbacks.clear()
@@ -139,13 +141,13 @@
         self._tick(self.run_number)
 
     def crash(self) -> None:
-        """Stop at once. Calls of the old run complete without effect."""
+        """Stop immediately. Calls that are in flight complete without effect."""
         self.core = None
         self.run_number += 1
         self._frozen = False
 
     def freeze(self, duration: timedelta) -> None:
-        """Suspend it while its clocks continue to run. Events that arrive meanwhile are processed when it resumes."""
+        """Suspend the controller while its clocks continue to run. It processes queued events when it resumes."""
         run_number = self.run_number
         self._frozen = True
 
@@ -159,23 +161,23 @@
 
     def _tick(self, run_number: int) -> None:
         if run_number == self.run_number and self.core is not None:
-            self._schedule()
+            self._schedule_step()
             self.sim.call_later(TICK_INTERVAL, lambda: self._tick(run_number))
 
-    def handle_request(self, kind: RequestKind, body: bytes, job: str, on_reply: Callable[[Reply], None]) -> None:
-        """Pass a request to the core. ``on_reply`` is not called if the controller is down or crashes first."""
+    def handle_request(self, kind: RequestKind, body: bytes, job_id: str, on_reply: Callable[[Reply], None]) -> None:
+        """Pass a request to the core. ``on_reply`` is never called if the controller is down or crashes first."""
         if self.core is None:
             return
         self._last_request_id += 1
         self._reply_callbacks[self._last_request_id] = on_reply
-        self._put(self.run_number, IncomingRequest(self._last_request_id, kind, body, job))
+        self._enqueue_event(self.run_number, IncomingRequest(self._last_request_id, kind, body, job_id))
 
-    def _put(self, run_number: int, event: Event) -> None:
+    def _enqueue_event(self, run_number: int, event: Event) -> None:
         if run_number == self.run_number and self.core is not None:
             self._pending_events.append(event)
-            self._schedule()
+            self._schedule_step()
 
-    def _schedule(self) -> None:
+    def _schedule_step(self) -> None:
         if not self._step_scheduled:
             self._step_scheduled = True
             run_number = self.run_number
@@ -205,7 +207,7 @@
         def complete(status: int, body: bytes) -> None:
             if call_state["open"]:
                 call_state["open"] = False
-                self._put(run_number, CallResult(call.call_id, status, body))
+                self._enqueue_event(run_number, CallResult(call.call_id, status, body))
 
         self.sim.call_later(call.timeout, lambda: complete(0, b""))
         assert self.state is not None and self.cloud is not None
@@ -246,7 +248,7 @@
                 event = WatchResult(wire.decode(wire.WatchReply, body))
             elif status == 410:
                 event = WatchResult(gap=True)
-            self._put(run_number, event)
+            self._enqueue_event(run_number, event)
 
         watch_state = {"open": True}
 
@@ -266,7 +268,7 @@
 
 
 class ControllerEndpoint(Protocol):
-    """A controller as users and workers address it."""
+    """A controller as users and workers see it."""
 
     @property
     def name(self) -> str: ...
@@ -274,11 +276,16 @@
     @property
     def alive(self) -> bool: ...
 
-    def handle_request(self, kind: RequestKind, body: bytes, job: str, on_reply: Callable[[Reply], None]) -> None: ...
+    def handle_request(
+        self, kind: RequestKind, body: bytes, job_id: str, on_reply: Callable[[Reply], None]
+    ) -> None: ...
 
 
 class StateServer:
-    """The state service as controllers address it. A reply is passed to ``reply``, at once or later."""
+    """The state service as controllers see it. Methods pass their result to ``reply``, immediately or later.
+
+    ``node`` is the name of the controller that sends the request, here and in the classes below.
+    """
 
     def serve(self, node: str, method: str, path: str, body: bytes, reply: ReplyCallback) -> None: ...
 
@@ -286,13 +293,13 @@
 
 
 class CloudServer:
-    """The cloud as controllers address it."""
+    """The cloud as controllers see it."""
 
     def serve(self, node: str, method: str, path: str, body: bytes, reply: ReplyCallback) -> None: ...
 
 
 class WorkerServer:
-    """A worker as controllers address it."""
+    """A worker as controllers see it."""
 
     name: str
 
@@ -300,5 +307,5 @@
 
 
 def encode_json(value: object) -> bytes:
-    """The value as JSON."""
+    """Return the value as JSON."""
     return msgspec.json.encode(value)
--- a/src/gladecroft/lab/state_service.py
+++ b/src/gladecroft/lab/state_service.py
@@ -1,5 +1,9 @@
 """A simulated state service, as PROTOCOL describes it: keys with revisions, conditional transactions, leases, watches
-and rate limits, with faults that scenarios inject."""
+and rate limits. Scenarios can inject faults.
+
+Names on the wire: ledger is the revision of the service, stamp the revision of a key, tenure a lease, data a value and
+drop the deletion of a key.
+"""
 
 from __future__ import annotations
 
@@ -14,34 +18,34 @@
 Json = dict[str, Any]
 
 
-#: Time that a request takes unless a scenario slows the service down.
+#: Time that a request takes unless a scenario sets another one.
 DEFAULT_LATENCY = seconds(0.003)
 
 
 class SimulatedStateService(StateServer):
-    """The records, the log of their changes, leases and open watches; and the faults in force."""
+    """The entries by key, the log of their changes, the leases, the open watches and the injected faults."""
 
     def __init__(self, sim: Simulation, rps: float, write_rps: float) -> None:
         self.sim = sim
         self.revision = 1
-        #: Value, revision and lease of each key.
+        #: Value, revision and lease id (None: no lease) of each key.
         self.entries: dict[str, tuple[Any, int, int | None]] = {}
-        #: Key, value (None if deleted) and revision of each change.
+        #: Key, value (None if the key was deleted) and revision of each change, oldest first.
         self.log: list[tuple[str, Any, int]] = []
-        #: TTL and expiry of each lease.
+        #: TTL and time of expiry of each lease, by lease id.
         self.leases: dict[int, tuple[timedelta, timedelta]] = {}
-        self.next_lease = 1
+        self.next_lease_id = 1
         self.outage = False
-        self.refused_controllers: set[str] = set()
+        self.rejected_controllers: set[str] = set()
         self.open_watches: list[tuple[str, int, ReplyCallback]] = []
-        #: Probability that a request is executed at once and its response is lost.
+        #: Probability that a request is executed immediately and its response is lost.
         self.response_loss_rate = 0.0
         #: Probability that a request gets no response and is executed 0.5 to 20 s later.
         self.delayed_rate = 0.0
         #: Probability that a transaction with writes gets no response and is executed 2 to 12 s later, after newer
         #: transactions.
         self.delayed_write_rate = 0.0
-        #: Probability that a transaction with writes is executed at once and its response is lost.
+        #: Probability that a transaction with writes is executed immediately and its response is lost.
         self.write_response_loss_rate = 0.0
         self.latency = DEFAULT_LATENCY
         #: Additional delay of every watch response.
@@ -56,14 +60,14 @@
 
     def _expire_leases(self) -> None:
         if not self.outage:
-            for lease, (_, expires_at) in list(self.leases.items()):
+            for lease_id, (_, expires_at) in list(self.leases.items()):
                 if self.sim.now >= expires_at:
-                    self._end_lease(lease)
+                    self._end_lease(lease_id)
         self.sim.call_later(seconds(0.05), self._expire_leases)
 
-    def _end_lease(self, lease: int) -> None:
-        del self.leases[lease]
-        expired = [key for key, entry in self.entries.items() if entry[2] == lease]
+    def _end_lease(self, lease_id: int) -> None:
+        del self.leases[lease_id]
+        expired = [key for key, entry in self.entries.items() if entry[2] == lease_id]
         if expired:
             self.revision += 1
             for key in expired:
@@ -71,25 +75,25 @@
                 self.log.append((key, None, self.revision))
             self._notify_watches()
 
-    def set_outage(self, on: bool) -> None:
-        """Begin or end an outage. No lease expires during it, and all have their full TTL afterwards."""
-        self.outage = on
-        if not on:
-            for lease, (ttl, _) in self.leases.items():
-                self.leases[lease] = (ttl, self.sim.now + ttl)
+    def set_outage(self, active: bool) -> None:
+        """Begin or end an outage. No lease expires during an outage, and every lease has its full TTL after it."""
+        self.outage = active
+        if not active:
+            for lease_id, (ttl, _) in self.leases.items():
+                self.leases[lease_id] = (ttl, self.sim.now + ttl)
             self._notify_watches()
 
-    def stop_refusing(self, controller: str) -> None:
-        """Serve a controller again."""
-        self.refused_controllers.discard(controller)
+    def stop_rejecting(self, controller: str) -> None:
+        """Serve a controller again whose requests were rejected."""
+        self.rejected_controllers.discard(controller)
         self._notify_watches()
 
     def set_request_faults(self, delayed_rate: float, response_loss_rate: float) -> None:
-        """Set which part of all requests is delayed, and of which part the response is lost."""
+        """Set the probabilities that a request is delayed and that its response is lost."""
         self.delayed_rate, self.response_loss_rate = delayed_rate, response_loss_rate
 
-    def _consume(self, bucket: list[float], amount: float) -> bool:
-        """Take tokens from a bucket; whether there were enough."""
+    def _take_tokens(self, bucket: list[float], amount: float) -> bool:
+        """Take tokens from a bucket and return whether there were enough."""
         now = self.sim.elapsed()
         bucket[1] = min(bucket[0], bucket[1] + bucket[0] * (now - bucket[2]))
         bucket[2] = now
@@ -100,11 +104,11 @@
         return True
 
     def serve(self, node: str, method: str, path: str, body: bytes, reply: ReplyCallback) -> None:
-        """Handle any request but a watch, with the faults in force."""
-        if self.outage or node in self.refused_controllers:
+        """Handle any request but a watch, subject to the injected faults."""
+        if self.outage or node in self.rejected_controllers:
             reply(503, b"{}")
             return
-        if not self._consume(self._request_bucket, 1):
+        if not self._take_tokens(self._request_bucket, 1):
             reply(429, b"{}")
             return
         rng = self.sim.rng
@@ -125,7 +129,7 @@
         if self.latency <= DEFAULT_LATENCY:
             self.sim.call_later(self.latency, lambda: self._execute(method, path, body, responder))
             return
-        # Part of the latency passes after the execution, so a response may be that old when it arrives.
+        # Part of the latency passes after the execution, so the state in the response may be outdated when it arrives.
         return_delay = self.latency * rng.random()
 
         def respond_late(*response: Any) -> None:
@@ -141,14 +145,14 @@
             self._commit(msgspec.json.decode(body), reply)
         elif url.path == "/grants":
             ttl = seconds(msgspec.json.decode(body)["ttlMs"] / 1000)
-            lease, self.next_lease = self.next_lease, self.next_lease + 1
-            self.leases[lease] = (ttl, self.sim.now + ttl)
-            reply(200, encode_json({"tenure": lease}))
+            lease_id, self.next_lease_id = self.next_lease_id, self.next_lease_id + 1
+            self.leases[lease_id] = (ttl, self.sim.now + ttl)
+            reply(200, encode_json({"tenure": lease_id}))
         elif url.path.endswith("/renew"):
-            lease = int(url.path.split("/")[2])
-            if lease in self.leases:
-                ttl = self.leases[lease][0]
-                self.leases[lease] = (ttl, self.sim.now + ttl)
+            lease_id = int(url.path.split("/")[2])
+            if lease_id in self.leases:
+                ttl = self.leases[lease_id][0]
+                self.leases[lease_id] = (ttl, self.sim.now + ttl)
                 reply(200, b"{}")
             else:
                 reply(404, b"{}")
@@ -163,8 +167,8 @@
         elif url.path.startswith("/store/"):
             key = url.path[len("/store/") :]
             if key in self.entries:
-                value, revision, key_lease = self.entries[key]
-                reply(200, encode_json({"key": key, "data": value, "stamp": revision, "tenure": key_lease}))
+                value, revision, key_lease_id = self.entries[key]
+                reply(200, encode_json({"key": key, "data": value, "stamp": revision, "tenure": key_lease_id}))
             else:
                 reply(404, encode_json({"ledger": self.revision}))
         else:
@@ -172,19 +176,19 @@
 
     def _commit(self, txn: Json, reply: ReplyCallback) -> None:
         ops = txn.get("apply") or []
-        if ops and not self._consume(self._write_bucket, len(ops)):
+        if ops and not self._take_tokens(self._write_bucket, len(ops)):
             reply(429, b"{}")
             return
         for op in ops:
             if "write" in op and op.get("tenure") is not None and op["tenure"] not in self.leases:
                 reply(400, encode_json({"error": "no such lease"}))
                 return
-        failed = [
+        failed_keys = [
             condition["key"] for condition in txn["if"]
             if (self.entries[condition["key"]][1] if condition["key"] in self.entries else 0) != condition["stamp"]
         ]  # fmt: skip
-        if failed:
-            reply(409, encode_json({"failed": failed, "ledger": self.revision}))
+        if failed_keys:
+            reply(409, encode_json({"failed": failed_keys, "ledger": self.revision}))
             return
         if ops:
             self.revision += 1
@@ -201,7 +205,7 @@
         reply(200, encode_json({"ledger": self.revision}))
 
     def watch(self, node: str, after: int, timeout: timedelta, reply: ReplyCallback) -> None:
-        """Reply with the changes after a revision, as soon as there are any or after the timeout."""
+        """Reply with the changes after a revision as soon as there are any, or without changes after the timeout."""
         if after + 1 < self.first_logged_revision:
             reply(410, b"{}")
             return
@@ -209,7 +213,7 @@
         self.open_watches.append(watch)
 
         def end() -> None:
-            if watch in self.open_watches and not self.outage and node not in self.refused_controllers:
+            if watch in self.open_watches and not self.outage and node not in self.rejected_controllers:
                 self.open_watches.remove(watch)
                 self._complete_watch(watch)
 
@@ -232,6 +236,6 @@
         if self.outage:
             return
         for watch in list(self.open_watches):
-            if watch[0] not in self.refused_controllers and self.log and self.log[-1][2] > watch[1]:
+            if watch[0] not in self.rejected_controllers and self.log and self.log[-1][2] > watch[1]:
                 self.open_watches.remove(watch)
                 self._complete_watch(watch)
--- a/src/gladecroft/lab/user.py
+++ b/src/gladecroft/lab/user.py
@@ -15,7 +15,10 @@
 
 
 class SimulatedUser:
-    """Submits one job with retries, polls it from then on, and cancels it on demand. The oracle sees every response."""
+    """Submits one job with retries, polls it once it is accepted, and cancels it on demand.
+
+    Every response is passed to the oracle.
+    """
 
     def __init__(self, sim: Simulation, controllers: Sequence[ControllerEndpoint], oracle: Oracle, spec: Json) -> None:
         self.sim = sim
@@ -36,8 +39,10 @@
         on_reply: Callable[[Reply | None], None],
         controller: ControllerEndpoint | None = None,
     ) -> None:
-        """Send a request to the controller, or to any that is up. ``on_reply`` gets None on a timeout or if none is
-        up."""
+        """Send a request to the given controller, or to a random one that is up.
+
+        ``on_reply`` is called with None on a timeout, or if no controller is up.
+        """
         available = [each for each in self.controllers if each.alive]
         if not available:
             self.sim.call_later(seconds(0.5), lambda: on_reply(None))
@@ -66,7 +71,7 @@
         self.sim.send("user", name, arrive)
 
     def submit(self, retry_until: float | None = None) -> None:
-        """Submit the job, and again for 60 s until it is accepted or rejected; poll it from then on."""
+        """Submit the job, with retries for 60 s until it is accepted or rejected; poll it once it is accepted."""
         retry_until = self.sim.elapsed() + 60 if retry_until is None else retry_until
 
         def on_reply(reply: Reply | None) -> None:
@@ -76,22 +81,22 @@
             elif reply is not None and reply.status in (400, 422):
                 return
             elif self.sim.elapsed() < retry_until:
-                wait = max(1, (reply.retry_after or 1) if reply is not None else 1)
-                self.sim.call_later(seconds(wait), lambda: self.submit(retry_until))
+                wait_s = max(1, (reply.retry_after_s or 1) if reply is not None else 1)
+                self.sim.call_later(seconds(wait_s), lambda: self.submit(retry_until))
 
         self._request(RequestKind.SUBMIT, self.submission_body(), 5, on_reply)
 
     def submission_body(self) -> bytes:
-        """The submission as it is sent, without the fields that only the simulated workers read."""
+        """Return the body of the submission, without the fields that only the simulated workers read."""
         return encode_json({key: value for key, value in self.spec.items() if key not in ("runS", "broken")})
 
     def send_request(self, kind: RequestKind, controller: ControllerEndpoint) -> None:
-        """Send one request to one controller, independent of the user's other requests and without retries."""
+        """Send one request to one controller without retries, independently of the user's other requests."""
         body = self.submission_body() if kind is RequestKind.SUBMIT else b""
         self._request(kind, body, 2 if kind is RequestKind.POLL else 5, lambda reply: None, controller)
 
     def poll(self) -> None:
-        """Poll every 4 to 6 s, without end."""
+        """Poll every 4 to 6 s until the end of the simulation."""
         self.oracle.request_sent(self.id)
 
         def on_reply(reply: Reply | None) -> None:
@@ -103,7 +108,7 @@
         self._request(RequestKind.POLL, b"", 2, on_reply)
 
     def cancel(self) -> None:
-        """Cancel the job, and again until a response confirms it or says that the job is unknown."""
+        """Cancel the job, with retries until a response confirms the cancellation or says that the job is unknown."""
         self.oracle.cancel_sent(self.id)
 
         def on_reply(reply: Reply | None) -> None:
--- a/src/gladecroft/lab/worker.py
+++ b/src/gladecroft/lab/worker.py
@@ -1,5 +1,9 @@
-"""A simulated worker: the agent of one machine, as PROTOCOL describes it. It reports every start and end of a task to
-the oracle."""
+"""A simulated worker: the agent of one machine, as PROTOCOL describes it.
+
+It passes every start and end of a task to the oracle. Names on the wire: a hearth is a machine, a portion a task, a try
+an attempt, a shift a session, a tally the sequence number of a report, a baton a fencing token, a steward the
+controller to report to, mercy the grace period of a stop, and a recipe an image.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +32,7 @@
 
 
 class WorkerTask(msgspec.Struct):
-    """An attempt at a task as its worker knows it; ``state`` and ``cause`` are values of the protocol."""
+    """An attempt of a task as its worker knows it; ``state`` and ``cause`` have the values of PROTOCOL."""
 
     attempt: int
     state: str
@@ -38,7 +42,7 @@
 
 
 class SimulatedWorker(WorkerServer):
-    """One machine and its agent. ``job_specs`` holds the job descriptions that a worker fetches by itself."""
+    """One machine and its agent. ``job_specs`` holds the job descriptions, which workers fetch by themselves."""
 
     def __init__(
         self, sim: Simulation, name: str, machine_type: SimulatedMachineType, zone: str, spot: bool,
@@ -76,13 +80,13 @@
         self.duplicate_reports: tuple[float, float] = (0.0, 0.0)
         #: Called with each report that is sent.
         self.on_report_sent: Callable[[bytes], None] | None = None
-        #: Until then the worker reaches no controller; what controllers send to it arrives and is answered.
+        #: Until then the worker's reports are lost; commands from controllers arrive and are answered.
         self.reports_lost_until = sim.now
 
     # Boot and failures
 
     def boot(self) -> None:
-        """Begin to report, unless the machine was returned before it was up."""
+        """Start to report, unless the machine was returned to the cloud before it was up."""
         if self.terminated:
             return
         self.up = True
@@ -90,7 +94,7 @@
         self._tick()
 
     def terminate(self, failed: bool = False) -> None:
-        """Stop the machine and all its tasks: it was returned, or it failed by itself."""
+        """Stop the machine and all its tasks, because it was returned to the cloud or has failed."""
         self.terminated = self.terminated or not failed
         self.failed = failed or self.failed
         self.up = False
@@ -98,8 +102,8 @@
             self._drop_task(key)
 
     def reboot(self, duration: timedelta) -> None:
-        """Lose power, and boot after the duration under the same name and address: in a new session, with no tasks and
-        no images."""
+        """Lose power, and boot after the duration with the same name and address, in a new session without tasks and
+        images."""
         self.up = False
         for key in list(self.tasks):
             self._drop_task(key)
@@ -115,7 +119,7 @@
         self.sim.call_later(duration, restart)
 
     def hang(self, duration: timedelta) -> None:
-        """Suspend the machine. What happens meanwhile takes effect when it resumes, after the lease check."""
+        """Suspend the machine. Events during the suspension are handled when it resumes, after the lease check."""
         self.hung = True
 
         def resume() -> None:
@@ -226,7 +230,7 @@
             return
         self.sim.send(self.name, controller.name, arrive)
         if self.sim.rng.random() < self.duplicate_reports[0]:
-            # The duplicate reaches some controller later, and nothing waits for the response to it.
+            # The duplicate reaches a random controller later; its response is ignored.
             other = self.sim.rng.choice(list(self.controllers))
             delay = seconds(self.sim.rng.uniform(1.0, self.duplicate_reports[1]))
             self.sim.call_later(
@@ -235,7 +239,7 @@
             )
 
     def _switch_controller(self, report_target: str | None) -> None:
-        """Report to the controller named next, or to the next one in turn after a pause."""
+        """Send the next report to the given controller immediately, or to the next one in turn after a pause."""
         self._awaiting_response = False
         names = [controller.name for controller in self.controllers]
         if report_target in names and names.index(report_target) != self.controller_index:
@@ -252,7 +256,7 @@
             self._request_report()
 
     def serve(self, node: str, method: str, path: str, body: bytes, reply: ReplyCallback) -> None:
-        """Answer a status request, or execute commands that carry the current token and session."""
+        """Handle a status request, or execute commands if they carry the current session and no outdated token."""
         if self.hung:
             self._deferred.append(lambda: self.serve(node, method, path, body, reply))
             return
--- a/src/gladecroft/policies/__init__.py
+++ b/src/gladecroft/policies/__init__.py
@@ -1,4 +1,7 @@
-"""Optional policies that influence scheduling without acting themselves, one module per subject."""
+"""Optional policies that influence scheduling and provisioning, one module per policy.
+
+A policy only answers queries; the core acts on the results.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 from gladecroft.policies.engine import PolicyEngine
 from gladecroft.policies.interface import Policy
 
-#: Policies that operators can enable, by the subject used in the settings.
+#: Policies that operators can enable, by subject: the identifier of a policy in the settings.
 POLICY_TYPES: dict[str, type[Policy]] = {CordonPolicy.subject: CordonPolicy}
 
 
--- a/src/gladecroft/policies/cordon.py
+++ b/src/gladecroft/policies/cordon.py
@@ -22,12 +22,12 @@
 class CordonRecord(CordonInfo, frozen=True, omit_defaults=True):
     """A cordon as stored in the state service."""
 
-    def is_expired(self, now: datetime) -> bool:
+    def is_expired(self, wall_now: datetime) -> bool:
         """Whether the cordon has expired; one without an expiry never does."""
-        return 0 < self.until_s <= now.timestamp()
+        return 0 < self.until_s <= wall_now.timestamp()
 
     def describe(self) -> str:
-        """Returns the text that pending reasons and views show."""
+        """Returns the text that users see as the reason for waiting and operators see in views."""
         why = f" ({self.why})" if self.why else ""
         return f"{self.scope.value} {self.name} takes nothing new{format_until(self.until_s)}{why}"
 
@@ -42,13 +42,15 @@
 
 
 def record_name(scope: CordonScope, name: str) -> str:
-    """Returns the last part of a cordon's key; names are hashed since they may hold characters that keys must not."""
+    """Returns the last part of a cordon's key; names are hashed since keys can't hold all characters."""
     return f"{scope.value}.{blake2b(name.encode(), digest_size=12).hexdigest()}"
 
 
-def make_record(request: CordonRequest, now: datetime) -> CordonRecord:
+def make_record(request: CordonRequest, wall_now: datetime) -> CordonRecord:
     """Returns the record to store for an operator's request."""
-    return CordonRecord(request.scope, request.name, request.why, request.by, int(now.timestamp()), request.until_s)
+    return CordonRecord(
+        request.scope, request.name, request.why, request.by, int(wall_now.timestamp()), request.until_s
+    )
 
 
 class CordonPolicy(Policy):
@@ -72,9 +74,9 @@
         self.records.clear()
         self._by_target.clear()
 
-    def filter(self, job: Job | None, machine: MachineAttributes, now: datetime) -> str | None:
+    def filter(self, job: Job | None, machine: MachineAttributes, wall_now: datetime) -> str | None:
         for key in _match_keys(machine):
             record = self._by_target.get(key)
-            if record is not None and not record.is_expired(now):
+            if record is not None and not record.is_expired(wall_now):
                 return record.describe()
         return None
--- a/src/gladecroft/policies/engine.py
+++ b/src/gladecroft/policies/engine.py
@@ -1,8 +1,9 @@
 """The enabled policies, queried as one: their results are combined, and failing policies are suspended.
 
-The latest hold, the largest demand and the earliest drain win; scores are added, and a machine must pass every filter.
-A policy that raises, returns an invalid value or exceeds its time budget is suspended until the next round, so that a
-faulty policy cannot stop a controller. While suspended its filter rejects nothing: no invariant depends on a policy.
+The latest hold, the largest capacity reservation and the earliest drain win. Scores are added, and a machine must pass
+every filter. A policy that raises, returns an invalid value or exceeds its time budget is suspended until the next
+round, so that a faulty policy cannot stop a controller. While it is suspended, its filter rejects nothing: no invariant
+depends on a policy.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 from gladecroft.bookkeeping.job import Job
 from gladecroft.bookkeeping.records import CapacityPool
-from gladecroft.policies.interface import CapacityDemand, Drain, Hold, MachineAttributes, Policy
+from gladecroft.policies.interface import CapacityReservation, Drain, Hold, MachineAttributes, Policy
 from gladecroft.protocol.operators import format_utc
 
 log = logging.getLogger(__name__)
@@ -46,8 +47,8 @@
         self.policies = {policy.subject: policy for policy in policies}
         if len(self.policies) != len(policies):
             raise ValueError("duplicate policy subject")
-        self.now = datetime.fromtimestamp(0, UTC)
-        #: Calls of each policy, and how often it was suspended.
+        self.wall_now = datetime.fromtimestamp(0, UTC)
+        #: Number of queries to each policy, and of its suspensions, by subject.
         self.query_counts: Counter[str] = Counter()
         self.suspension_counts: Counter[str] = Counter()
         self._timer = timer
@@ -59,13 +60,16 @@
         self._hold_policies = _implementing(policies, "hold")
         self._filter_policies = _implementing(policies, "filter")
         self._score_policies = _implementing(policies, "score")
-        self._demand_policies = _implementing(policies, "demand")
+        self._reservation_policies = _implementing(policies, "capacity_reservations")
         self._drain_policies = _implementing(policies, "drain")
         self._drain_cache: dict[MachineAttributes, Drain | None] = {}
 
-    def begin_round(self, now: datetime) -> None:
-        """Starts a round: lifts suspensions and clears the results cached for the last round."""
-        self.now = now
+    def begin_round(self, wall_now: datetime) -> None:
+        """Starts a round: ends all suspensions and clears the results cached in the last round.
+
+        ``wall_now`` is the wall-clock time that is passed to policies during the round.
+        """
+        self.wall_now = wall_now
         self._suspended.clear()
         self._used_s.clear()
         self._exclusions.clear()
@@ -92,7 +96,7 @@
         return result
 
     def _suspend(self, subject: str, reason: str) -> None:
-        """Ignores a policy until the next round."""
+        """Suspends a policy: it is not queried until the next round."""
         self._suspended.add(subject)
         self.suspension_counts[subject] += 1
         # Logs only counts that are powers of two, so that a policy failing in every round does not fill the log.
@@ -107,52 +111,52 @@
         latest: Hold | None = None
         subject = ""
         for policy in self._hold_policies:
-            result = self._query(policy, partial(policy.hold, job, self.now), None, _is_hold)
-            if result is not None and result.until > self.now and (latest is None or result.until > latest.until):
+            result = self._query(policy, partial(policy.hold, job, self.wall_now), None, _is_hold)
+            if result is not None and result.until > self.wall_now and (latest is None or result.until > latest.until):
                 latest, subject = result, policy.subject
         if latest is None:
             return None
-        until = min(latest.until, self.now + MAX_HOLD)
+        until = min(latest.until, self.wall_now + MAX_HOLD)
         return f"{subject}: {latest.reason}; at the latest {format_utc(until)}"
 
-    def exclusion_reason(self, name: str, pool: CapacityPool) -> str | None:
+    def exclusion_reason(self, machine_id: str, pool: CapacityPool) -> str | None:
         """Returns why a machine accepts no new task of any job, or None if it may accept some."""
         if not self._filter_policies:
             return None
-        machine = MachineAttributes.from_pool(name, pool)
+        machine = MachineAttributes.from_pool(machine_id, pool)
         cached = self._exclusions.get(machine)
         if cached is None:
             cached = self._exclusions[machine] = self._rejection(None, machine, job_specific=False) or ""
         return cached or None
 
-    def rejection_reason(self, job: Job, name: str, pool: CapacityPool) -> str | None:
+    def rejection_reason(self, job: Job, machine_id: str, pool: CapacityPool) -> str | None:
         """Returns why a machine may not run a job's tasks, or None if all policies allow it."""
         if not self._filter_policies:
             return None
-        return self.exclusion_reason(name, pool) or self._rejection(
-            job, MachineAttributes.from_pool(name, pool), job_specific=True
+        return self.exclusion_reason(machine_id, pool) or self._rejection(
+            job, MachineAttributes.from_pool(machine_id, pool), job_specific=True
         )
 
     def _rejection(self, job: Job | None, machine: MachineAttributes, job_specific: bool) -> str | None:
         for policy in self._filter_policies:
             if policy.job_specific is job_specific:
-                result = self._query(policy, partial(policy.filter, job, machine, self.now), None, _is_reason)
+                result = self._query(policy, partial(policy.filter, job, machine, self.wall_now), None, _is_reason)
                 if result is not None:
                     return f"{policy.subject}: {result}"
         return None
 
-    def score(self, job: Job, name: str, pool: CapacityPool) -> float:
+    def score(self, job: Job, machine_id: str, pool: CapacityPool) -> float:
         """Returns the sum of all scores of a machine for a job; the lowest is the best."""
         if not self._score_policies:
             return 0.0
-        machine = MachineAttributes.from_pool(name, pool)
+        machine = MachineAttributes.from_pool(machine_id, pool)
         return sum(
-            self._query(policy, partial(policy.score, job, machine, self.now), 0.0, _is_score)
+            self._query(policy, partial(policy.score, job, machine, self.wall_now), 0.0, _is_score)
             for policy in self._score_policies
         )
 
     def is_job_specific(self) -> bool:
-        """Whether a machine may be excluded for one job and open to another."""
+        """Whether policies may exclude a machine for one job and allow it for another."""
         return bool(self._drain_policies) or any(policy.job_specific for policy in self._filter_policies)
 
     def has_holds(self) -> bool:
@@ -163,27 +167,29 @@
         """Whether any policy can drain machines."""
         return bool(self._drain_policies)
 
-    def capacity_demands(self) -> list[CapacityDemand]:
-        """Returns the largest demand of any policy for each pair of machine type and zone."""
-        largest: dict[tuple[str, str], CapacityDemand] = {}
-        for policy in self._demand_policies:
-            default: list[CapacityDemand] = []
-            for demand in self._query(policy, partial(policy.demand, self.now), default, _are_demands):
-                other = largest.get((demand.type, demand.zone))
-                if other is None or demand.cpus > other.cpus:
-                    largest[(demand.type, demand.zone)] = demand
+    def capacity_reservations(self) -> list[CapacityReservation]:
+        """Returns the largest reservation of any policy for each pair of machine type and zone."""
+        largest: dict[tuple[str, str], CapacityReservation] = {}
+        for policy in self._reservation_policies:
+            default: list[CapacityReservation] = []
+            for reservation in self._query(
+                policy, partial(policy.capacity_reservations, self.wall_now), default, _are_reservations
+            ):
+                other = largest.get((reservation.type, reservation.zone))
+                if other is None or reservation.cpus > other.cpus:
+                    largest[(reservation.type, reservation.zone)] = reservation
         return list(largest.values())
 
-    def drain(self, name: str, pool: CapacityPool) -> Drain | None:
+    def drain(self, machine_id: str, pool: CapacityPool) -> Drain | None:
         """Returns the drain with the earliest deadline that any policy requests for a machine, or None."""
         if not self._drain_policies:
             return None
-        machine = MachineAttributes.from_pool(name, pool)
+        machine = MachineAttributes.from_pool(machine_id, pool)
         if machine in self._drain_cache:
             return self._drain_cache[machine]
         earliest: Drain | None = None
         for policy in self._drain_policies:
-            result = self._query(policy, partial(policy.drain, machine, self.now), None, _is_drain)
+            result = self._query(policy, partial(policy.drain, machine, self.wall_now), None, _is_drain)
             if result is not None and (earliest is None or result.deadline < earliest.deadline):
                 earliest = Drain(result.deadline, result.checkpoint_grace, f"{policy.subject}: {result.reason}")
         self._drain_cache[machine] = earliest
@@ -224,10 +230,12 @@
     return isinstance(result, int | float) and math.isfinite(result)
 
 
-def _are_demands(result: object) -> bool:
+def _are_reservations(result: object) -> bool:
     return isinstance(result, list) and all(
-        isinstance(demand, CapacityDemand) and 0 <= demand.cpus < math.inf and _is_aware(demand.needed_at)
-        for demand in result
+        isinstance(reservation, CapacityReservation)
+        and 0 <= reservation.cpus < math.inf
+        and _is_aware(reservation.needed_at)
+        for reservation in result
     )
 
 
--- a/src/gladecroft/policies/interface.py
+++ b/src/gladecroft/policies/interface.py
@@ -1,7 +1,7 @@
-"""The interface between policies and the core: holds, filters, scores, demands, drains and a policy's own records.
+"""The interface between policies and the core: holds, filters, scores, capacity reservations, drains and records.
 
-The core queries policies; they never act by themselves. A policy does no I/O and takes the time from its caller. One
-that is slow, fails or returns an invalid value is ignored for a round, and the core goes on without it.
+The core queries policies; they never act on their own. A policy does no I/O and gets the time from its caller. A policy
+that is slow, fails or returns an invalid value is ignored until the next round. ``wall_now`` is the wall-clock time.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class MachineAttributes(msgspec.Struct, frozen=True):
-    """What a policy sees of a machine, or of one that could be rented (its name is empty)."""
+    """The attributes of a machine that policies see; ``name`` is empty for one that could be rented from the cloud."""
 
     name: str
     type: str
@@ -28,14 +28,14 @@
 
 
 class Hold(msgspec.Struct, frozen=True):
-    """Keeps a job's tasks from starting before an instant. Every hold ends, or the job could starve."""
+    """Prevents a job's tasks from starting before an instant. Every hold has an end, so that no job starves."""
 
     until: datetime
     reason: str
 
 
-class CapacityDemand(msgspec.Struct, frozen=True):
-    """Cores that must be available at an instant on machines of a type and zone; an empty string stands for any."""
+class CapacityReservation(msgspec.Struct, frozen=True):
+    """Cores that must be available at an instant on machines of a type and zone; empty type or zone: any."""
 
     cpus: float
     needed_at: datetime
@@ -43,12 +43,12 @@
     zone: str = ""
 
     def matches(self, type: str, zone: str) -> bool:
-        """Whether machines of this type and zone count towards the demand."""
+        """Whether machines of this type and zone count towards the reservation."""
         return self.type in ("", type) and self.zone in ("", zone)
 
 
 class Drain(msgspec.Struct, frozen=True):
-    """Asks for a machine to be empty by a deadline; tasks get ``checkpoint_grace`` before it to save checkpoints."""
+    """Requires a machine to be empty by a deadline; its tasks are stopped ``checkpoint_grace`` before the deadline."""
 
     deadline: datetime
     checkpoint_grace: timedelta
@@ -58,28 +58,28 @@
 class Policy:
     """Base class of policies. Each method has a neutral default; a policy overrides those that it needs."""
 
-    #: Name of the policy in settings, keys, logs and reasons.
+    #: What the policy is about; identifies it in settings, keys in the state service, logs and reasons.
     subject = ""
     #: Whether ``filter`` depends on the job; if not, it is called once per machine and round, without a job.
     job_specific = False
 
-    def hold(self, job: Job, now: datetime) -> Hold | None:
+    def hold(self, job: Job, wall_now: datetime) -> Hold | None:
         """Returns why and until when the job's tasks must not start, or None if they may."""
         return None
 
-    def filter(self, job: Job | None, machine: MachineAttributes, now: datetime) -> str | None:
+    def filter(self, job: Job | None, machine: MachineAttributes, wall_now: datetime) -> str | None:
         """Returns why the machine must not run the job, or any job if ``job`` is None; None if it may."""
         return None
 
-    def score(self, job: Job, machine: MachineAttributes, now: datetime) -> float:
-        """Ranks machines that the placers consider equal for the job; the lowest score is the best."""
+    def score(self, job: Job, machine: MachineAttributes, wall_now: datetime) -> float:
+        """Returns a score that breaks ties between machines that are otherwise equal for the job; the lowest wins."""
         return 0.0
 
-    def demand(self, now: datetime) -> list[CapacityDemand]:
-        """Returns the capacity that must be available."""
+    def capacity_reservations(self, wall_now: datetime) -> list[CapacityReservation]:
+        """Returns the capacity that must be available in the fleet, as a minimum."""
         return []
 
-    def drain(self, machine: MachineAttributes, now: datetime) -> Drain | None:
+    def drain(self, machine: MachineAttributes, wall_now: datetime) -> Drain | None:
         """Returns by when and why the machine must be drained, or None if it need not be."""
         return None
 
@@ -87,4 +87,4 @@
         """Applies a change of one of the policy's records; None deletes it. May raise ``msgspec.DecodeError``."""
 
     def clear_records(self) -> None:
-        """Drops all records, before they are read again from the state service."""
+        """Deletes all records from memory, before they are read again from the state service."""
--- a/src/gladecroft/protocol/operators.py
+++ b/src/gladecroft/protocol/operators.py
@@ -1,4 +1,7 @@
-"""Messages between operators and a controller, on the address that only operators and peers can reach."""
+"""Messages between operators and a controller, on the address that only operators and peers can reach.
+
+The field names are those on the wire.
+"""
 
 from __future__ import annotations
 
@@ -15,12 +18,12 @@
 
 
 def format_utc(at: datetime) -> str:
-    """Format a point in time for logs, reasons and commands."""
+    """Format a point in time for log messages, reasons shown to users and operator commands."""
     return f"{at:%Y-%m-%d %H:%M:%S} UTC"
 
 
 def format_until(until_s: int) -> str:
-    """Format the end of a period, given in Unix time, to be appended to a text; empty if there is no end (0)."""
+    """Format the end of a period, given in Unix time, as a suffix; empty if the period has no end (0)."""
     return f" until {format_utc(datetime.fromtimestamp(until_s, UTC))}" if until_s else ""
 
 
@@ -33,7 +36,11 @@
 
 
 class CordonRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """Set a cordon or, with ``lift``, remove it. ``until_s``: Unix time at which it expires; 0 for never."""
+    """Set a cordon or, with ``lift``, remove it.
+
+    ``why`` and ``by`` are the reason and the operator, as entered. ``until_s``: Unix time at which the cordon expires;
+    0 for never.
+    """
 
     scope: CordonScope
     name: Annotated[str, Meta(min_length=1, max_length=200)]
@@ -44,7 +51,7 @@
 
 
 class CordonInfo(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A cordon that is set. ``until_s``: Unix time at which it expires; 0 if only an operator lifts it."""
+    """A cordon that is set. ``until_s``: Unix time at which it expires; 0 if it stays until an operator lifts it."""
 
     scope: CordonScope
     name: str
@@ -67,10 +74,10 @@
 
 
 class GroupStatus(msgspec.Struct, frozen=True):
-    """A team's jobs of one class: number of unfinished jobs, and cores by use.
+    """A group, that is, a team's jobs of one class: the number of unfinished jobs, and numbers of cores.
 
-    ``used``: in use; ``waiting``: requested by queued tasks; ``floor``, ``share``: allotted by the admission decision.
-    ``taken``: the fraction of new submissions accepted within the minute during which users retry (1: all).
+    ``used``: held by placed tasks; ``waiting``: requested by queued tasks; ``floor``, ``share``: set by the admission
+    decision. ``taken``: the fraction of new submissions accepted within the minute during which users retry (1: all).
     """
 
     team: str
@@ -86,7 +93,7 @@
 class AdmissionStatus(msgspec.Struct, frozen=True):
     """The admission decision in force.
 
-    ``level``: open (no restriction), shaping (floors and shares apply), shedding (also refuses submissions).
+    ``level``: open (no restriction), shaping (floors and shares apply) or shedding (submissions are rejected as well).
     """
 
     level: str
--- a/src/gladecroft/protocol/settings.py
+++ b/src/gladecroft/protocol/settings.py
@@ -1,4 +1,7 @@
-"""The platform's settings file (TOML) and the operators' settings (Java properties)."""
+"""The platform's settings file (TOML) and the operators' settings (Java properties).
+
+The ``rename`` maps hold the names used in the settings file.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 #: Names of the available policies.
 KNOWN_POLICIES = frozenset({"cordon"})
 
-#: Fraction of an interval by which two monotonic clocks may differ.
+#: Maximum drift of a monotonic clock, as a fraction of the elapsed time.
 MAX_CLOCK_DRIFT = 0.0005
 
 
@@ -46,7 +49,7 @@
 class Team(msgspec.Struct):
     """The guarantee (``cpus``, ``gpus``) and the limit (``cpus_max``, ``gpus_max``) of a team; 0 means none.
 
-    A limit of 0 must not be read as zero cores, or every job of such a team would be refused.
+    A limit of 0 must not be taken for zero cores, or every job of the team would be rejected.
     """
 
     name: Name
@@ -78,7 +81,11 @@
 
 
 class WorkerSettings(msgspec.Struct):
-    """Intervals of the protocol with the machines, in seconds."""
+    """Intervals of the protocol with the machines, in seconds.
+
+    ``lease_s``: the lease of a machine on its tasks; ``cancel_s``: the time within which the tasks of a cancelled job
+    must have stopped.
+    """
 
     report_s: Positive
     lease_s: Positive
@@ -88,7 +95,7 @@
 
 
 class StateServiceSettings(msgspec.Struct):
-    """Limits of the state service."""
+    """Limits of the state service: requests and writes per second, KiB per value, and operations per transaction."""
 
     rps: Positive
     write_rps: Positive
@@ -97,7 +104,7 @@
 
 
 class CloudSettings(msgspec.Struct):
-    """Limits of the cloud's API. ``list_lag_s``: by how much its list of machines may be out of date."""
+    """Limits of the cloud API. ``list_lag_s``: by how much its list of machines may lag behind the actual state."""
 
     rps: Positive
     list_lag_s: NonNegative
@@ -114,7 +121,7 @@
 
 
 class ClusterSettings(msgspec.Struct, rename={"limits": "resources", "max_clock_offset_ms": "time_bound_ms"}):
-    """Settings that are the same for all controllers. ``max_clock_offset_ms``: bound on the error of clocks."""
+    """Settings that are the same for all controllers. ``max_clock_offset_ms``: maximum error of the wall clocks."""
 
     zones: list[str]
     teams: list[Team]
@@ -150,13 +157,14 @@
 
     @property
     def lease(self) -> timedelta:
-        """The lease of a machine on its tasks, renewed by the answers to its reports."""
+        """The lease of a machine on its tasks, renewed by the replies to its reports."""
         return timedelta(seconds=self.cluster.workers.lease_s)
 
 
 class OperatorSettings(msgspec.Struct, forbid_unknown_fields=True, rename=lambda name: name.replace("_", ".")):
     """The operators' settings. Keys in the properties file have dots in place of underscores."""
 
+    #: Tasks of this priority and above are placed by the high-priority placer.
     priority_line: Priority = Priority.HIGH
     offer_top: Annotated[int, Meta(ge=1, le=64)] = 4
     spot_avoiding: bool = True
@@ -164,22 +172,22 @@
     machine_idle: Annotated[float, Meta(ge=0.0, le=3600.0)] = 15.0
     machine_consolidate: bool = True
     machine_reserve: Annotated[float, Meta(ge=0.0, le=10.0)] = 0.1
-    #: Whether the leader guarantees each team and job class its floor in an overload. On by default: a day on which
-    #: less than half of a team's or class's work is served counts as failed.
+    #: Whether admission control gives each team and job class its floor in an overload. Enabled by default, since a day
+    #: on which less than half of the work of a team or class is served counts as failed.
     admission: bool = True
     #: Names of the enabled policies, separated by commas.
     policies: str = ""
 
     def policy_names(self) -> list[str]:
-        """The names in ``policies``, in order."""
+        """The names in ``policies``, in their order."""
         return [name for name in (each.strip() for each in self.policies.split(",")) if name]
 
 
-def parse_address(addr: str, where: str = "address") -> tuple[str, int]:
+def parse_address(addr: str, field: str = "address") -> tuple[str, int]:
     """Split HOST:PORT; ``where`` names the field in the error message."""
     host, colon, port = addr.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise SettingsError(f"{where}: expected HOST:PORT, got {addr!r}")
+        raise SettingsError(f"{field}: expected HOST:PORT, got {addr!r}")
     return host, int(port)
 
 
@@ -216,7 +224,7 @@
     """Read and check the operators' properties; without a file every setting has its default."""
     if path is None:
         return OperatorSettings()
-    # Imported only when needed: it pulls in many web modules of the standard library, a sixth of the startup cost.
+    # Imported only when needed, since it imports many web modules of the standard library: a sixth of the startup cost.
     from javaproperties import InvalidUEscapeError, loads
 
     try:
@@ -245,6 +253,6 @@
 
 
 def member_ttl(operator_settings: OperatorSettings, platform: PlatformSettings) -> timedelta:
-    """The lease of a member key, kept well below the time that ``cancel_s`` leaves after the lease of a machine."""
+    """The lease of a member key, kept well below ``cancel_s - lease_s``."""
     workers = platform.cluster.workers
     return timedelta(seconds=min(operator_settings.member_ttl, (workers.cancel_s - workers.lease_s) / 2.5))
--- a/src/gladecroft/protocol/wire.py
+++ b/src/gladecroft/protocol/wire.py
@@ -1,7 +1,7 @@
 """Messages exchanged with users, machines, the cloud and the state service, as msgspec structs.
 
-Attributes have the usual terms of the field. The ``rename`` maps hold the names used on the wire, which no other module
-mentions.
+Attributes and enum members have the usual terms of the field. The ``rename`` maps and the enum values hold the names
+used on the wire, which no other module mentions.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
     ARRAY = "batch"
     SERVICE = "service"
-    #: All tasks run at the same time or not at all. Not yet offered to users by the protocol of the deployments.
+    #: All tasks run at the same time or not at all. The protocol of current deployments does not offer it to users yet.
     GANG = "group"
 
 
 class Priority(StrEnum):
-    """Priority classes, from the most to the least important."""
+    """Priority classes, in descending order."""
 
     PRODUCTION = "production"
     HIGH = "urgent"
@@ -38,7 +38,7 @@
     LOW = "best_effort"
 
 
-#: Smaller is more important.
+#: Rank of each priority; 0 is the highest priority.
 PRIORITY_RANK = {Priority.PRODUCTION: 0, Priority.HIGH: 1, Priority.NORMAL: 2, Priority.LOW: 3}
 
 
@@ -52,7 +52,7 @@
 
 
 class ReportedTaskState(StrEnum):
-    """The state of a task as its machine reports it."""
+    """The state of an attempt as its machine reports it."""
 
     FETCHING = "fetching"
     RUNNING = "running"
@@ -67,20 +67,23 @@
     DONE = "done"
     STOPPED = "halted"
     ERROR = "error"
+    #: The machine lacks the free resources for it.
     NO_ROOM = "full"
+    #: The machine has not discarded an earlier attempt of the task yet.
     BUSY = "busy"
+    #: The machine knows no such task.
     UNKNOWN = "no_such"
 
 
 class CommandOp(StrEnum):
-    """What a command tells a machine to do with an attempt. FORGET: discard one that has exited."""
+    """What a command tells a machine to do with an attempt. FORGET: discard an attempt that has exited."""
 
     START = "start"
     STOP = "halt"
     FORGET = "reap"
 
 
-class MachineState(StrEnum):
+class ListedMachineState(StrEnum):
     """The state of a machine in the cloud's list."""
 
     BOOTING = "starting"
@@ -143,7 +146,7 @@
 
 
 class JobStatus(msgspec.Struct, omit_defaults=True, rename={"id": "nameId", "state": "status"}):
-    """Reply to a status query."""
+    """Reply to a status request of a user."""
 
     id: str
     state: JobState
@@ -153,13 +156,13 @@
 
 
 class ErrorReply(msgspec.Struct):
-    """Body of an error response."""
+    """Body of an error reply."""
 
     error: str
 
 
 class ReportTarget(msgspec.Struct, omit_defaults=True, rename={"report_to": "steward"}):
-    """Tells a machine which controller to report to, if one is known."""
+    """Tells a machine to which controller to report, if that is known."""
 
     report_to: str | None = None
 
@@ -193,7 +196,8 @@
 ):
     """A machine's periodic report.
 
-    ``seq`` orders the reports of a session; ``token`` is the highest fencing token that the machine has received.
+    ``seq`` orders the reports of a session. ``token`` is the highest fencing token that the machine has received.
+    ``notice_s``: seconds until the cloud reclaims the machine, if it has announced that.
     """
 
     machine: str
@@ -214,7 +218,7 @@
     omit_defaults=True,
     rename={"op": "verb", "task": "portion", "attempt": "try", "grace_s": "mercyS"},
 ):
-    """A command about one attempt. ``grace_s``: time to save its work before it is killed."""
+    """A command for one attempt. ``grace_s``: seconds that it has to save its work before it is killed."""
 
     op: CommandOp
     task: str
@@ -245,7 +249,7 @@
         "zones": "districts",
     },
 ):
-    """A machine type in the cloud's offer."""
+    """A machine type that the cloud offers."""
 
     name: str
     cpus: Amount
@@ -260,7 +264,7 @@
 
 
 class MachineTypes(msgspec.Struct, rename={"types": "flavors"}):
-    """The cloud's offer."""
+    """The machine types that the cloud offers."""
 
     types: list[MachineType]
 
@@ -269,7 +273,7 @@
     msgspec.Struct,
     rename={"request": "booking", "type": "flavor", "zone": "district", "spot": "leftovers", "count": "number"},
 ):
-    """Request for machines. ``request`` is an idempotency key."""
+    """Request to rent machines. ``request`` is an idempotency key."""
 
     request: str
     type: str
@@ -279,7 +283,7 @@
 
 
 class MachineNames(msgspec.Struct, rename={"machines": "hearths"}):
-    """Names of machines in requests to the cloud and its responses."""
+    """Ids of machines in requests to the cloud and its responses."""
 
     machines: list[str]
 
@@ -302,7 +306,7 @@
     type: str
     zone: str
     spot: bool
-    state: MachineState
+    state: ListedMachineState
     addr: str | None = None
     age_s: float = 0.0
 
@@ -322,7 +326,7 @@
 
 
 class Put(msgspec.Struct, gc=False, omit_defaults=True, rename={"key": "write", "value": "data", "lease": "tenure"}):
-    """Write of a key. Without ``lease`` the key is detached from its lease."""
+    """Write of a key. Without ``lease``, the key is detached from any lease."""
 
     key: str
     value: msgspec.Raw
@@ -343,7 +347,7 @@
 
 
 class TxnReply(msgspec.Struct, rename={"revision": "ledger"}):
-    """Result of a transaction: the revision of the commit, or the keys whose conditions failed."""
+    """Response to a transaction: the revision of the commit, or the keys whose conditions failed."""
 
     revision: int = 0
     failed: list[str] = []
@@ -364,7 +368,7 @@
 
 
 class RangeReply(msgspec.Struct, rename={"items": "pairs", "more": "truncated", "revision": "ledger"}):
-    """A page of the keys with a prefix."""
+    """Response to a listing: a page of the keys with a prefix."""
 
     items: list[KeyValue]
     revision: int
@@ -383,7 +387,7 @@
 
 
 class WatchReply(msgspec.Struct, rename={"revision": "ledger", "events": "log"}):
-    """Changes since the revision asked for."""
+    """Response to a watch: the changes since the requested revision."""
 
     revision: int
     events: list[WatchEvent] = []
@@ -440,10 +444,10 @@
 def submitted_job_id(body: bytes) -> str | None:
     """The job id in a submission that may otherwise be malformed, or None if there is no valid one."""
     try:
-        name: str = decode(JobReference, body).id
+        job_id: str = decode(JobReference, body).id
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         return None
-    return name if JOB_ID.match(name) else None
+    return job_id if JOB_ID.match(job_id) else None
 
 
 # Paths of the HTTP interfaces.
--- a/src/gladecroft/service.py
+++ b/src/gladecroft/service.py
@@ -36,23 +36,26 @@
 
 log = logging.getLogger(__name__)
 
-#: Longest time between two steps of the core.
+#: Maximum time between two steps of the core.
 TICK_INTERVAL = timedelta(milliseconds=100)
 #: How long the state service may keep a watch open without changes.
 WATCH_BLOCK_TIME = timedelta(seconds=10)
 CONNECT_TIMEOUT = timedelta(seconds=1)
 #: Requests without a reply from the core for this long fail with status 503.
 REPLY_TIMEOUT = timedelta(seconds=4.5)
-#: Requests of other controllers, all POST.
+#: Requests of other controllers by path. All of them use POST.
 PEER_REQUESTS = {
-    peers.ENDED_ATTEMPTS_PATH: RequestKind.ATTEMPTS_ENDED,
-    peers.REPORTED_MACHINES_PATH: RequestKind.MACHINES_REPORTED,
-    peers.REPORTING_MACHINES_PATH: RequestKind.QUERY_REPORTING,
-    peers.CONSENT_PATH: RequestKind.CONSENT,
+    peers.ENDED_ATTEMPTS_PATH: RequestKind.ANNOUNCE_ENDED_ATTEMPTS,
+    peers.MACHINE_ANNOUNCEMENT_PATH: RequestKind.ANNOUNCE_MACHINES,
+    peers.REPORTING_QUERY_PATH: RequestKind.QUERY_REPORTING,
+    peers.CONSENT_PATH: RequestKind.REQUEST_CONSENT,
 }
-#: Requests of operators that only read.
-OPERATOR_QUERIES = {operators.VIEW_PATH: RequestKind.VIEW, operators.ADMISSION_PATH: RequestKind.ADMISSION}
-#: Largest number of events in one step of the core.
+#: Read-only requests of operators by path.
+OPERATOR_QUERIES = {
+    operators.VIEW_PATH: RequestKind.GET_CONTROLLER_STATUS,
+    operators.ADMISSION_PATH: RequestKind.GET_ADMISSION_STATUS,
+}
+#: Maximum number of events in one step of the core.
 MAX_BATCH_EVENTS = 256
 
 
@@ -62,13 +65,14 @@
 
 
 class ControllerService:
-    """Runs one controller: serves its requests and executes the effects of its core."""
+    """Runs one controller: passes requests to its core and executes the effects that the core returns."""
 
     def __init__(self, platform: PlatformSettings, operator_settings: OperatorSettings) -> None:
         self.platform = platform
         self.core = Core(platform, operator_settings)
         max_connections = platform.cluster.limits.max_connections
-        # Most connections are for users and workers, some for outgoing calls, a few for peers and operators.
+        # Most of the connections are reserved for users and workers, some for outgoing calls, and a few for peers and
+        # operators.
         self._server = Server(self._handle, max(16, max_connections * 6 // 10), wire.MAX_BODY_BYTES)
         self._peer_server = Server(self._handle_peer, max(4, max_connections // 20), wire.MAX_BODY_BYTES)
         self._state_client = Client(max(4, min(24, max_connections // 20)), CONNECT_TIMEOUT)
@@ -76,8 +80,8 @@
         self._cloud_client = Client(4, CONNECT_TIMEOUT)
         self._worker_client = Client(1, CONNECT_TIMEOUT)
         self._peer_client = Client(2, CONNECT_TIMEOUT)
-        self._worker_limit = anyio.CapacityLimiter(max(8, max_connections // 8))
-        self._pending: dict[int, tuple[Callable[[Reply], None], timedelta]] = {}
+        self._worker_limiter = anyio.CapacityLimiter(max(8, max_connections // 8))
+        self._pending_requests: dict[int, tuple[Callable[[Reply], None], timedelta]] = {}
         self._last_request_id = 0
         self._state_addr = parse_address(platform.services.state)
         self._cloud_addr = parse_address(platform.services.cloud)
@@ -100,13 +104,13 @@
     # Core loop -----------------------------------------------------------------------------------------------
 
     async def _run_core(self) -> None:
-        """Passes queued events to the core in batches, at least once per tick, and executes the resulting effects."""
+        """Passes queued events to the core in batches, at least once per tick, and executes the returned effects."""
         next_tick_at = read_clock().monotonic
         while True:
             events: list[Event] = []
-            wait = (next_tick_at - read_clock().monotonic).total_seconds()
-            if wait > 0:
-                with anyio.move_on_after(wait):
+            wait_s = (next_tick_at - read_clock().monotonic).total_seconds()
+            if wait_s > 0:
+                with anyio.move_on_after(wait_s):
                     events.append(await self._event_receiver.receive())
             else:
                 await anyio.lowlevel.checkpoint()
@@ -116,7 +120,7 @@
                 except anyio.WouldBlock:
                     break
             now = read_clock()
-            # Each step also does the work of a tick, so a step shortly before the next tick replaces it.
+            # Every step does the periodic work of a tick as well, so a step shortly before the next tick replaces it.
             if now.monotonic >= next_tick_at - TICK_INTERVAL / 2:
                 next_tick_at = now.monotonic + TICK_INTERVAL
                 self._expire_requests(now.monotonic)
@@ -124,15 +128,22 @@
                 self._execute(effect)
 
     def _expire_requests(self, now: timedelta) -> None:
-        """Fails requests that have waited too long; a scan per tick replaces a timer per request, since few expire."""
-        expired = [request_id for request_id, (_, since) in self._pending.items() if now - since > REPLY_TIMEOUT]
+        """Fails requests that have waited for ``REPLY_TIMEOUT``.
+
+        A scan per tick is cheaper than a timer per request, since few requests expire.
+        """
+        expired = [
+            request_id
+            for request_id, (_, received_at) in self._pending_requests.items()
+            if now - received_at > REPLY_TIMEOUT
+        ]
         for request_id in expired:
-            complete, _ = self._pending.pop(request_id)
+            complete, _ = self._pending_requests.pop(request_id)
             complete(Reply(request_id, 503, wire.encode(wire.ErrorReply("too slow")), 1))
 
     def _execute(self, effect: Effect) -> None:
         if isinstance(effect, Reply):
-            pending = self._pending.pop(effect.request_id, None)
+            pending = self._pending_requests.pop(effect.request_id, None)
             if pending is not None:
                 pending[0](effect)
         elif isinstance(effect, StartWatch):
@@ -153,7 +164,7 @@
             addr = parse_address(call.addr)
             response = await self._peer_client.request(addr, call.method, call.path, call.body, call.timeout)
         else:
-            async with self._worker_limit:
+            async with self._worker_limiter:
                 addr = parse_address(call.addr)
                 response = await self._worker_client.request(addr, call.method, call.path, call.body, call.timeout)
         await self._event_sender.send(CallResult(call.call_id, response.status, response.body))
@@ -175,7 +186,7 @@
 
     # Requests ------------------------------------------------------------------------------------------------
 
-    async def _submit(self, kind: RequestKind, body: bytes = b"", job: str = "") -> Response:
+    async def _send_to_core(self, kind: RequestKind, body: bytes = b"", job_id: str = "") -> Response:
         """Passes a request to the core and waits for its reply."""
         self._last_request_id += 1
         request_id = self._last_request_id
@@ -186,28 +197,30 @@
             replies.append(reply)
             done.set()
 
-        self._pending[request_id] = (complete, read_clock().monotonic)
-        self._event_sender.send_nowait(IncomingRequest(request_id, kind, body, job))
+        self._pending_requests[request_id] = (complete, read_clock().monotonic)
+        self._event_sender.send_nowait(IncomingRequest(request_id, kind, body, job_id))
         try:
             await done.wait()
         finally:
-            self._pending.pop(request_id, None)
-        headers = (("Retry-After", str(replies[0].retry_after)),) if replies[0].retry_after is not None else ()
+            self._pending_requests.pop(request_id, None)
+        headers = (("Retry-After", str(replies[0].retry_after_s)),) if replies[0].retry_after_s is not None else ()
         return Response(replies[0].status, replies[0].body, headers)
 
     async def _handle(self, request: Request) -> Response:
         path = urlsplit(request.path).path
         if path == wire.REPORT_PATH:
             return (
-                await self._submit(RequestKind.REPORT, request.body)
+                await self._send_to_core(RequestKind.REPORT, request.body)
                 if request.method == "POST"
                 else _method_not_allowed("POST")
             )
         if path == wire.HEALTH_PATH:
-            return await self._submit(RequestKind.HEALTH) if request.method == "GET" else _method_not_allowed("GET")
+            return (
+                await self._send_to_core(RequestKind.HEALTH) if request.method == "GET" else _method_not_allowed("GET")
+            )
         if path == wire.SUBMIT_PATH:
             return (
-                await self._submit(RequestKind.SUBMIT, request.body)
+                await self._send_to_core(RequestKind.SUBMIT, request.body)
                 if request.method == "POST"
                 else _method_not_allowed("POST")
             )
@@ -216,40 +229,44 @@
             if len(parts) == 1 and parts[0]:
                 if request.method != "GET":
                     return _method_not_allowed("GET")
-                return await self._submit_for_job(RequestKind.POLL, parts[0])
+                return await self._send_to_core_for_job(RequestKind.POLL, parts[0])
             if len(parts) == 2 and parts[1] == wire.CANCEL_SUFFIX:
                 if request.method != "POST":
                     return _method_not_allowed("POST")
-                return await self._submit_for_job(RequestKind.CANCEL, parts[0])
+                return await self._send_to_core_for_job(RequestKind.CANCEL, parts[0])
         return _error_response(404, "no such path")
 
-    async def _submit_for_job(self, kind: RequestKind, job: str) -> Response:
-        # Only valid job ids are looked up, since others do not form a valid key of the state service.
-        return await self._submit(kind, b"", job) if wire.JOB_ID.match(job) else _error_response(404, "no such job")
+    async def _send_to_core_for_job(self, kind: RequestKind, job_id: str) -> Response:
+        # Only valid job ids are looked up, since other ids do not form a valid key of the state service.
+        return (
+            await self._send_to_core(kind, b"", job_id)
+            if wire.JOB_ID.match(job_id)
+            else _error_response(404, "no such job")
+        )
 
     async def _handle_peer(self, request: Request) -> Response:
         path = urlsplit(request.path).path
         peer_request = PEER_REQUESTS.get(path)
         if peer_request is not None:
             return (
-                await self._submit(peer_request, request.body)
+                await self._send_to_core(peer_request, request.body)
                 if request.method == "POST"
                 else _method_not_allowed("POST")
             )
         if path == operators.CORDONS_PATH:
             if request.method not in ("GET", "POST"):
                 return _method_not_allowed("GET, POST")
-            return await self._submit(
+            return await self._send_to_core(
                 RequestKind.LIST_CORDONS if request.method == "GET" else RequestKind.CHANGE_CORDON, request.body
             )
         query = OPERATOR_QUERIES.get(path)
         if query is None:
             return _error_response(404, "no such path")
-        return await self._submit(query) if request.method == "GET" else _method_not_allowed("GET")
+        return await self._send_to_core(query) if request.method == "GET" else _method_not_allowed("GET")
 
 
-def _error_response(status: int, error: str, retry_after: int | None = None) -> Response:
-    headers = (("Retry-After", str(retry_after)),) if retry_after is not None else ()
+def _error_response(status: int, error: str, retry_after_s: int | None = None) -> Response:
+    headers = (("Retry-After", str(retry_after_s)),) if retry_after_s is not None else ()
     return Response(status, wire.encode(wire.ErrorReply(error)), headers)
 
 
--- a/src/gladecroft/toolbox/admission.py
+++ b/src/gladecroft/toolbox/admission.py
@@ -1,4 +1,4 @@
-"""``gladecroft admission``: the order of teams and classes in an overload, as agreed by all controllers."""
+"""``gladecroft admission``: shows the admission control of teams and classes, on which all controllers agree."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 from gladecroft.toolbox.controller_client import send_request
 from gladecroft.toolbox.options import as_json_option, node_option, wait_option
 
+#: Text printed for each admission level. The floor of a group (team and class) is its guaranteed minimum share.
 LEVEL_DESCRIPTIONS = {
-    "open": "capacity suffices for all groups: no shares are agreed",
-    "shaping": "groups below their floor are placed first, groups above their fair share last",
-    "shedding": "as in shaping, and some submissions are refused",
+    "open": "there is enough for all: nothing is agreed",
+    "shaping": "who is below its floor comes first, who is above its share last",
+    "shedding": "floors and shares count, and submissions of some are refused",
 }
 
 
 @click.group()
 def admission() -> None:
-    """The order of teams and classes in an overload, as agreed by all controllers."""
+    """Show the admission control of teams and classes, on which all controllers agree."""
 
 
 @admission.command()
--- a/src/gladecroft/toolbox/controller_client.py
+++ b/src/gladecroft/toolbox/controller_client.py
@@ -1,4 +1,4 @@
-"""Requests of the commands to controllers, with retries, error messages and exit codes."""
+"""Sends the commands' requests to controllers, with retries, error messages and exit codes."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from gladecroft.protocol.wire import ErrorReply
 from gladecroft.transport.client import Client, ClientResponse
 
-EXIT_REFUSED = 1
+EXIT_REJECTED = 1
 EXIT_BAD_INPUT = 2
 EXIT_UNREACHABLE = 3
-#: Pause between attempts, each of which tries all controllers.
+#: Pause between attempts; each attempt tries all controllers.
 RETRY_INTERVAL_S = 0.5
 
 
 def exit_with_error(code: int, message: str) -> NoReturn:
-    """Prints an error message and exits with a code."""
+    """Prints an error message and exits with the code."""
     click.echo(f"gladecroft: {message}", err=True)
     sys.exit(code)
 
@@ -40,8 +40,8 @@
 def send_request(nodes: Sequence[str], method: str, path: str, body: bytes | None, wait: timedelta) -> bytes:
     """Sends a request to the controllers in turn and returns the body of the first response with status 200.
 
-    Controllers that do not respond, or are unable to serve the request now, are tried again for as long as ``wait``.
-    Any other response ends the command.
+    ``nodes`` holds the controllers' peer addresses. If controllers do not respond or cannot serve the request now, the
+    request is retried for up to ``wait``. Any other response ends the command with an error.
     """
     try:
         addrs = [(node, parse_address(node, "--node")) for node in nodes]
@@ -62,9 +62,9 @@
             if response.status <= 0:
                 last_error = f"{node} does not respond"
             elif response.status in (429, 503):
-                last_error, code = f"{node} cannot serve the request now: {error_text(response)}", EXIT_REFUSED
+                last_error, code = f"{node} cannot serve the request now: {error_text(response)}", EXIT_REJECTED
             else:
-                exit_with_error(EXIT_REFUSED, f"{node} refused the request: {error_text(response)}")
+                exit_with_error(EXIT_REJECTED, f"{node} rejected the request: {error_text(response)}")
         if time.monotonic() >= deadline_s:
             exit_with_error(code, last_error)
         time.sleep(RETRY_INTERVAL_S)
--- a/src/gladecroft/toolbox/cordon.py
+++ b/src/gladecroft/toolbox/cordon.py
@@ -1,4 +1,4 @@
-"""``gladecroft cordon``: excludes machines from new tasks."""
+"""``gladecroft cordon``: sets, lifts and lists cordons, which exclude machines from new tasks."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @click.group()
 def cordon() -> None:
-    """Exclude machines from new tasks, by machine, type or zone. Running tasks stay."""
+    """Exclude machines from new tasks, by machine, type or zone. Running tasks continue."""
 
 
 @cordon.command("set")
@@ -120,7 +120,7 @@
 @wait_option
 @as_json_option
 def list_(nodes: tuple[str, ...], wait: float, as_json: bool) -> None:
-    """Show the cordons that a controller knows, and how many machines each one excludes."""
+    """Show the cordons that a controller knows, and how many machines each cordon excludes."""
     body = send_request(nodes, "GET", operators.CORDONS_PATH, None, timedelta(seconds=wait))
     if as_json:
         click.echo(body.decode())
--- a/src/gladecroft/toolbox/options.py
+++ b/src/gladecroft/toolbox/options.py
@@ -1,4 +1,4 @@
-"""Options shared by all commands that talk to running controllers."""
+"""Options shared by all commands that send requests to running controllers."""
 
 from __future__ import annotations
 
--- a/src/gladecroft/transport/client.py
+++ b/src/gladecroft/transport/client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 client on anyio and h11 that reuses connections, with a bounded number per address."""
+"""HTTP/1.1 client on anyio and h11 that reuses connections and limits their number per address."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 log = logging.getLogger(__name__)
 
-#: At this many addresses the client closes the connections to those that are not in use.
+#: When the client knows this many addresses, it closes the idle connections to addresses without requests in flight.
 MAX_POOLED_ADDRESSES = 256
 
 
@@ -43,24 +43,24 @@
 
 
 class _AddressPool:
-    """Idle connections to one address, and the limit of requests in flight."""
+    """Idle connections to one address, and the limiter of requests in flight."""
 
-    __slots__ = ("idle", "limit")
+    __slots__ = ("idle", "limiter")
 
     def __init__(self, size: int) -> None:
         self.idle: deque[_Connection] = deque()
-        self.limit = anyio.CapacityLimiter(size)
+        self.limiter = anyio.CapacityLimiter(size)
 
 
 class Client:
     """Sends requests to any number of addresses.
 
-    Network failures and invalid responses are reported by the status of the response, never raised.
+    Network failures and invalid responses raise no exceptions; the status of the response reports them.
     """
 
     def __init__(self, max_per_address: int, connect_timeout: timedelta) -> None:
         self._max_per_address = max_per_address
-        self._connect_timeout = connect_timeout.total_seconds()
+        self._connect_timeout_s = connect_timeout.total_seconds()
         self._pools: dict[tuple[str, int], _AddressPool] = {}
 
     async def request(
@@ -69,11 +69,11 @@
         """Sends a request and waits for its response, for no longer than ``timeout``."""
         pool = self._pools.get(addr)
         if pool is None:
-            await self._close_unused()
+            await self._close_idle()
             pool = self._pools.setdefault(addr, _AddressPool(self._max_per_address))
         sent = False
         with anyio.move_on_after(timeout.total_seconds()):
-            async with pool.limit:
+            async with pool.limiter:
                 connection: _Connection | None = None
                 try:
                     connection = await self._acquire(pool, addr)
@@ -106,18 +106,18 @@
                 return connection
             await anyio.aclose_forcefully(connection.stream)
         try:
-            with anyio.fail_after(self._connect_timeout):
+            with anyio.fail_after(self._connect_timeout_s):
                 return _Connection(await anyio.connect_tcp(*addr))
         except (OSError, TimeoutError):
             return None
 
-    async def _close_unused(self) -> None:
-        """Closes the idle connections of unused addresses, since machines come and go."""
+    async def _close_idle(self) -> None:
+        """Closes the idle connections to addresses without requests in flight, since machines come and go."""
         if len(self._pools) < MAX_POOLED_ADDRESSES:
             return
         stale: list[_Connection] = []
         for addr, pool in list(self._pools.items()):
-            if pool.limit.borrowed_tokens == 0:
+            if pool.limiter.borrowed_tokens == 0:
                 stale += pool.idle
                 del self._pools[addr]
         for connection in stale:
@@ -125,7 +125,8 @@
 
 
 def _is_open(connection: _Connection) -> bool:
-    # The stream reads only on demand, so a closed peer or unexpected data makes the socket readable.
+    # Data is read only while a request is in flight, so the socket of an idle connection is readable only if the peer
+    # has closed it or has sent unexpected data.
     sock = connection.stream.extra(anyio.abc.SocketAttribute.raw_socket)
     if sock.fileno() < 0:
         return False
--- a/src/gladecroft/transport/server.py
+++ b/src/gladecroft/transport/server.py
@@ -16,9 +16,9 @@
 
 log = logging.getLogger(__name__)
 
-#: Time for the next request to arrive on an open connection.
+#: Time within which the next request has to arrive on an open connection.
 IDLE_TIMEOUT = timedelta(seconds=120)
-#: Time for the rest of a request's body to arrive.
+#: Time within which the rest of a request's body has to arrive.
 BODY_TIMEOUT = timedelta(seconds=10)
 
 
@@ -46,7 +46,7 @@
 
 
 class Server:
-    """Serves one listening address; closes new connections beyond ``max_connections``."""
+    """Serves one listening address; new connections beyond ``max_connections`` are closed."""
 
     def __init__(self, handler: Handler, max_connections: int, max_body: int) -> None:
         self._handler = handler
@@ -64,7 +64,7 @@
 
     async def _handle_connection(self, stream: anyio.abc.SocketStream) -> None:
         if self.open_connections >= self._max_connections:
-            log.debug("connection refused: %d connections are open", self.open_connections)
+            log.debug("connection rejected: %d connections are open", self.open_connections)
             await stream.aclose()
             return
         self.open_connections += 1
@@ -79,7 +79,8 @@
             self.open_connections -= 1
 
     async def _serve_connection(self, stream: anyio.abc.SocketStream) -> None:
-        # One scope per connection with a moving deadline: a scope per request is a notable part of its cost.
+        # One scope per connection, whose deadline is moved for each request: creating a scope per request is a notable
+        # part of a request's cost.
         with anyio.CancelScope() as scope:
             await self._serve_requests(h11.Connection(h11.SERVER), stream, scope)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
 """Makes hypothesis deterministic, and marks the known failing tests of ``KNOWN-RED.txt`` as expected failures.
 
-That file, in the root directory, lists tests that fail because of a fault which is not fixed yet: one line each of the
-form ``TEST | CAUSE | ISSUE``, at most three lines. A listed test that passes fails the run until its line is removed.
-No other test may be skipped or expected to fail.
+``KNOWN-RED.txt`` in the root directory lists tests that fail because of a fault that is not fixed yet. Each line has
+the form ``TEST | CAUSE | ISSUE``; at most three lines are allowed. If a listed test passes, the run fails until its
+line is removed. No other test may be skipped or expected to fail.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def parse_known_red(text: str) -> dict[str, str]:
-    """The cause and issue of each known failing test, by its node id. ``ValueError`` names an invalid line."""
+    """Return the cause and issue of each known failing test by node id. Raise ``ValueError`` for an invalid line."""
     tests: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,9 @@
-"""Admission control: fair shares, the published record, admission windows, and no starvation under overload."""
+"""Admission control: fair shares, the published record, admission windows, and no starvation under overload.
+
+Terms of the scenarios: ``nodes`` are controllers, ``up`` machines that run from the start, ``memory`` is a controller's
+memory limit in MB; ``die`` makes the machine with this number fail, ``outage`` is an outage of the state service; times
+(``for``, ``run``) are in seconds. Jobs wk-1..., wk-2... and wk-3... belong to the teams a, b and d.
+"""
 
 from __future__ import annotations
 
@@ -20,10 +25,10 @@
 from gladecroft.coordination.admission.fair_share import (
     GroupDemand,
     fair_shares,
-    guarantees_exceed_capacity,
+    guaranteed_demand_exceeds_capacity,
     starved_groups,
 )
-from gladecroft.coordination.admission.tiers import BOOSTED, DEFERRED, NORMAL, PriorityTiers
+from gladecroft.coordination.admission.tiers import BOOSTED, DEFERRED, NORMAL, AdmissionTiers
 from gladecroft.coordination.admission.window import JobFlow, job_quotas, next_window, retry_delay
 from gladecroft.coordination.events import (
     CallResult,
@@ -59,7 +64,7 @@
 
 
 def usable_fraction(demand: ResourceVector, allocation: ResourceVector) -> float:
-    """The fraction of its demand that a group could meet with an allocation."""
+    """Return the fraction of its demand that a group could meet with an allocation."""
     return min(1.0, min(granted / requested for granted, requested in zip(allocation, demand, strict=True)))
 
 
@@ -79,15 +84,15 @@
         assert fractions[key] >= 1 - 1e-6 or exhausted, "work conserving"
         for other in demands:
             assert usable_fraction(demand.amounts, allocations[other]) <= fractions[key] + 1e-5, "no envy"
-    overstating = chosen % len(demands)
-    overstated = ResourceDemand(tuple(amount * factor for amount in demands[overstating].amounts))
-    granted = drf_fractions({**demands, overstating: overstated}, capacity)[overstating]
-    assert min(1.0, granted * factor) <= fractions[overstating] + 1e-5, "no gain by asking for more"
+    overstating_key = chosen % len(demands)
+    overstated = ResourceDemand(tuple(amount * factor for amount in demands[overstating_key].amounts))
+    granted = drf_fractions({**demands, overstating_key: overstated}, capacity)[overstating_key]
+    assert min(1.0, granted * factor) <= fractions[overstating_key] + 1e-5, "no gain by overstating"
     larger = drf_fractions(demands, tuple(available * factor for available in capacity))
     assert all(larger[key] >= fractions[key] - 1e-6 for key in demands), "monotone in capacity"
 
 
-def test_fair_shares_honour_guarantees_and_limits_and_lend_unused_capacity() -> None:
+def test_fair_shares_respect_guarantees_and_limits_and_redistribute_unused_capacity() -> None:
     teams = {"a": Team("a", 60.0, 0.0), "b": Team("b", 0.0, 0.0), "c": Team("c", 10.0, 15.0)}
     demands = {
         ("a", "x"): GroupDemand((0.0, 0.0, 0.0), (80.0, 0.0, 0.0)),
@@ -95,19 +100,19 @@
         ("b", "y"): GroupDemand((0.0, 0.0, 0.0), (5.0, 0.0, 0.0)),
         ("c", "x"): GroupDemand((0.0, 0.0, 0.0), (90.0, 0.0, 0.0)),
     }
-    shares = {group: round(share.share, 2) for group, share in fair_shares(demands, teams, (100.0, 0.0, 300.0)).items()}
-    # Guarantees are granted first, and the rest is divided in proportion to them. Of b's share the small class has all
-    # that it demands, and is entitled to as much as the large one.
+    shares = {group: round(share.cpus, 2) for group, share in fair_shares(demands, teams, (100.0, 0.0, 300.0)).items()}
+    # Guarantees are granted first, and the rest is divided in proportion to them. Within team b, the small class is
+    # granted its whole demand, and is entitled to as much as the large class.
     assert shares == {("a", "x"): 75.0, ("b", "x"): 7.5, ("b", "y"): 7.5, ("c", "x"): 12.5}
     limited = fair_shares(demands, {**teams, "c": Team("c", 10.0, 11.0)}, (100.0, 0.0, 300.0))
-    assert round(limited[("c", "x")].share, 2) == 11.0
-    # With less capacity the guarantees alone exceed it.
+    assert round(limited[("c", "x")].cpus, 2) == 11.0
+    # With less capacity, the guarantees alone exceed it.
     halved = fair_shares(demands, teams, (35.0, 0.0, 300.0))
-    assert round(sum(share.share for share in halved.values()), 2) == 35.0
-    # A thousand teams, one job each.
+    assert round(sum(share.cpus for share in halved.values()), 2) == 35.0
+    # A thousand teams with the same demand have equal shares.
     thousand_teams = {(f"t{n}", "x"): GroupDemand((0.0, 0.0, 0.0), (4.0, 0.0, 8.0)) for n in range(1000)}
     equal_shares = fair_shares(thousand_teams, {}, (1000.0, 0.0, 4000.0))
-    assert {round(share.share, 2) for share in equal_shares.values()} == {1.0}
+    assert {round(share.cpus, 2) for share in equal_shares.values()} == {1.0}
 
 
 def test_groups_below_their_floor_are_boosted_and_groups_above_their_share_deferred() -> None:
@@ -118,20 +123,20 @@
         "g/p/wk-2/0", rec.ChunkRecord([rec.TaskRecord(rec.TaskState.ACTIVE, 1, "m-1")] * 2 + [rec.TaskRecord()] * 3)
     )
     record = rec.AdmissionRecord(1, "shaping", 0, 10, [rec.GroupShare("t", "x", 6.0, 8.0)])
-    tiers = PriorityTiers(record, harness.core.context.cluster_state.workload.groups)
+    tiers = AdmissionTiers(record, harness.core.context.cluster_state.workload.groups)
     assert tiers.tier_of(("t", "x"), False) == BOOSTED and tiers.tier_of(("t", "y"), False) == NORMAL
-    tiers.add_planned(("t", "x"), 2.0)
+    tiers.add_tentative_cpus(("t", "x"), 2.0)
     assert tiers.tier_of(("t", "x"), False) == NORMAL
-    tiers.add_planned(("t", "x"), 2.0)
+    tiers.add_tentative_cpus(("t", "x"), 2.0)
     assert tiers.tier_of(("t", "x"), False) == DEFERRED and tiers.tier_of(("t", "x"), True) == NORMAL
 
 
 def run_with_backlog(
-    on: bool, nodes: int = 3, until: float = 300.0, faults: list[tuple[float, str]] | None = None
+    admission: bool, controllers: int = 3, until: float = 300.0, faults: list[tuple[float, str]] | None = None
 ) -> Scenario:
-    """One team's urgent arrays, three times as much work as eight machines can do, and now and then a normal one of
-    another team."""
-    scenario = build_scenario(on, nodes)
+    """Run an overload: one team submits urgent arrays at three times the capacity of eight machines, and another team
+    submits a small array of normal priority every 20 s."""
+    scenario = build_scenario(admission, controllers)
     submit_backlog(scenario, 3.0, until)
     assert submit_small_arrays(scenario, until + 10) == 15
     for at, fault in faults or []:
@@ -144,14 +149,14 @@
 def test_no_team_starves_under_a_backlog_of_higher_priority() -> None:
     without, with_admission = run_with_backlog(False), run_with_backlog(True)
     submitted = 8 * 15
-    # Precondition: with strict priorities the lower one gets almost nothing, except what has waited too long to start.
+    # Precondition: with strict priorities, almost no task of the lower priority starts, except overdue ones.
     assert count_started_tasks(without, "2") <= 0.1 * submitted
     assert count_started_tasks(with_admission, "2") >= 0.6 * submitted
-    # One team's gain is the other's excess over its share; no throughput is lost.
+    # What one team gains is the other team's excess over its share; no throughput is lost.
     assert count_started_tasks(with_admission, "1") + count_started_tasks(
         with_admission, "2"
     ) >= 0.97 * count_started_tasks(without, "1")
-    # The starved team's first job waits for its class's target wait and then for free capacity.
+    # The first job of the starved team waits for the target wait of its class (60 s) and then for free capacity.
     first = min(at for at, key, *_ in with_admission.oracle.starts if key[0].startswith("wk-2"))
     assert first <= 10 + 60 + 15
 
@@ -166,12 +171,12 @@
         for controller in scenario.controllers
         if (core := controller.core) is not None and core.context.cluster_state.admission is not None
     }
-    assert len(generations) == 1, "all apply the same generation"
+    assert len(generations) == 1, "all controllers apply the same generation"
 
 
-def calls_to_the_state_service(on: str) -> list[tuple[str, str]]:
-    """The calls that it gets in a minute and a half with free capacity for all work."""
-    text = FLEET_SCENARIO.format(on=on, nodes=3, guarantee=0).replace("count=0", "count=9")
+def state_service_calls(admission: str) -> list[tuple[str, str]]:
+    """Return the calls to the state service in 90 s with free capacity for all jobs."""
+    text = FLEET_SCENARIO.format(on=admission, nodes=3, guarantee=0).replace("count=0", "count=9")
     scenario = Scenario(text, 1).run()
     calls: list[tuple[str, str]] = []
     serve = scenario.state.serve
@@ -193,8 +198,8 @@
     return calls
 
 
-def test_disabled_or_without_overload_it_makes_no_calls() -> None:
-    assert calls_to_the_state_service("false") == calls_to_the_state_service("true")
+def test_admission_control_makes_no_calls_if_it_is_disabled_or_without_overload() -> None:
+    assert state_service_calls("false") == state_service_calls("true")
     harness = CoreHarness(OperatorSettings(admission=False))
     core = harness.core
     assert core.admission is None and core.scheduler.current_tiers is None and core.users.retry_delay is None
@@ -211,7 +216,7 @@
     assert admission.tiers() is not None
     harness.core.context.wall_time = clock_at(harness.now_s + 31).wall
     assert admission.tiers() is None
-    # A new listing of all records drops it until it is read again.
+    # When all records are read again, the record is discarded until it has been read.
     harness.core.context.cluster_state.reset()
     assert harness.core.context.cluster_state.admission is None
 
@@ -219,7 +224,7 @@
 # Admission windows ----------------------------------------------------------------------------------------------------
 
 
-def test_controllers_with_the_same_generation_give_every_job_the_same_answer() -> None:
+def test_controllers_with_the_same_generation_decide_alike_on_every_job() -> None:
     rng = random.Random(7)
     cores = [CoreHarness(OperatorSettings(admission=True)).core for _ in range(2)]
     accepted = 0
@@ -230,7 +235,7 @@
             share = rec.GroupShare("t", SPEC.job_class, 1.0, 2.0, rng.random(), width, sweep)
             record = rec.AdmissionRecord(number, "shedding", now, now + 30, [share], f"{number:016x}")
             for index, core in enumerate(cores):
-                # The controllers differ in the jobs that they know and in the time at which they decide.
+                # The controllers differ in the jobs that they know and in the time of their decision.
                 core.context.cluster_state.admission = record
                 core.context.wall_time = clock_at(cores[0].context.now.total_seconds() + index * 0.9).wall
                 groups = core.context.cluster_state.workload.groups
@@ -243,32 +248,32 @@
     assert 1000 < accepted < 9900
 
 
-def test_users_who_retry_on_time_are_accepted_and_groups_within_their_quota_are_not_refused() -> None:
+def test_users_who_retry_on_time_are_accepted_and_groups_within_their_quota_are_not_rejected() -> None:
     assert next_window(None, JobFlow(10, 10.0, 5.0, 1.0), 5.0) == (0.0, 1.0, 0.0)
     window = rec.GroupShare("t", "c", 0.0, 0.0, 0.3, 0.999, 1 / 60)
-    refused: dict[str, float] = {}
+    rejected: dict[str, float] = {}
     now_s, accepted = 0.0, 0
     for number in range(400):
-        # Arrivals equal completions: the window covers the whole circle within the minute for which users retry.
+        # Arrivals equal completions, so the window covers the whole circle within the minute for which users retry.
         begin, width, sweep = next_window(window, JobFlow(100, 50.0, 1.0, 1.0), 5.0)
         window = rec.GroupShare("t", "c", 0.0, 0.0, begin, width, max(sweep, 1 / 60))
-        for job, retry_at in list(refused.items()):
+        for job_id, retry_at in list(rejected.items()):
             if retry_at <= now_s:
-                delay = retry_delay(window, "salt", job)
+                delay = retry_delay(window, "salt", job_id)
                 if delay is None:
-                    del refused[job]
+                    del rejected[job_id]
                     accepted += 1
                 else:
-                    refused[job] = now_s + delay
+                    rejected[job_id] = now_s + delay
         delay = retry_delay(window, "salt", f"wk-{number}")
         if delay is not None:
-            refused[f"wk-{number}"] = now_s + delay
+            rejected[f"wk-{number}"] = now_s + delay
         now_s += 5.0
-    assert accepted > 200 and len(refused) <= 14
+    assert accepted > 200 and len(rejected) <= 14
 
 
 def test_unfinished_jobs_settle_at_the_quota_whatever_the_arrival_rate() -> None:
-    """Ten jobs per second arrive and two end, for ten minutes; refused users retry for a minute."""
+    """For ten minutes, ten jobs per second are submitted and two finish; rejected users retry for a minute."""
     rng = random.Random(1)
     unfinished, quota, window = 100, 100.0, None
     retries: list[tuple[float, float, str]] = []
@@ -282,14 +287,14 @@
         number += 10
         tries += [retry for retry in retries if retry[0] <= second]
         retries = [retry for retry in retries if retry[0] > second]
-        for _, until, job in tries:
+        for _, until, job_id in tries:
             assert window is not None
-            delay = retry_delay(window, "k", job)
+            delay = retry_delay(window, "k", job_id)
             if delay is None:
                 unfinished += 1
                 arrived += 1
             elif second + delay < until:
-                retries.append((second + delay + rng.random(), until, job))
+                retries.append((second + delay + rng.random(), until, job_id))
             else:
                 given_up += 1
         unfinished = max(0, unfinished - 2)
@@ -319,9 +324,10 @@
 """
 
 
-def run_shedding(on: str) -> Scenario:
-    """One team submits five jobs per second for 100 s, of which two per second can run; another one every 4 s."""
-    scenario = Scenario(SHEDDING_SCENARIO.format(on=on), 1).run()
+def run_shedding(admission: str) -> Scenario:
+    """Run a burst: one team submits five jobs per second for 100 s, of which two per second can run; another team
+    submits a job every 4 s."""
+    scenario = Scenario(SHEDDING_SCENARIO.format(on=admission), 1).run()
     for number in range(500):
         words = ["submit", f"wk-1{number:04d}", "team=a", "cpus=4", "run=4"]
         scenario.sim.call_at(seconds(5 + number * 0.2), partial(scenario._perform, words))
@@ -333,9 +339,9 @@
     return scenario
 
 
-def test_one_teams_burst_of_submissions_does_not_get_anothers_refused() -> None:
+def test_one_teams_burst_of_submissions_does_not_cause_rejections_for_another_team() -> None:
     def submissions(scenario: Scenario, team: str, *statuses: int) -> list[str]:
-        users = [user for name, user in scenario.users.items() if name.startswith(f"wk-{team}")]
+        users = [user for job_id, user in scenario.users.items() if job_id.startswith(f"wk-{team}")]
         return [
             user.id
             for user in users
@@ -344,10 +350,10 @@
         ]
 
     without, with_admission = run_shedding("false"), run_shedding("true")
-    assert submissions(without, "2", 429), "precondition: one team uses up the limit of all jobs"
+    assert submissions(without, "2", 429), "precondition: one team uses up the limit of unfinished jobs"
     assert submissions(with_admission, "1", 429) and not submissions(with_admission, "2", 429)
-    assert all(user.accepted for name, user in with_admission.users.items() if name.startswith("wk-2"))
-    # As many jobs are accepted in all as without admission control.
+    assert all(user.accepted for job_id, user in with_admission.users.items() if job_id.startswith("wk-2"))
+    # In total, almost as many jobs are accepted as without admission control.
     accepted = [sum(user.accepted for user in scenario.users.values()) for scenario in (without, with_admission)]
     assert accepted[1] >= 0.8 * accepted[0]
 
@@ -358,7 +364,10 @@
 def run_overload(
     commands: list[tuple[float, str]], until: float, guarantee: int = 0, priority: str = "production"
 ) -> Scenario:
-    """A backlog of one team's class at production priority on eight machines, and further commands at their times."""
+    """Run a backlog of one team's class, by default at production priority, on eight machines.
+
+    ``commands`` are further scenario commands with their times in seconds.
+    """
     scenario = build_scenario(True, 3, guarantee)
     submit_backlog(scenario, 3.0, until, priority)
     for at, line in commands:
@@ -375,8 +384,9 @@
     ]
     scenario = run_overload(commands, 300.0)
     assert count_started_tasks(scenario, "2") >= 0.7 * 48 and count_started_tasks(scenario, "3") >= 0.7 * 48
-    # Work placed because of a floor is not evicted at once by groups above their share. Without that protection, when
-    # the record held shares alone, these 96 tasks were started 592 times. Before there is a record they are evicted.
+    # Tasks placed because of a floor are not evicted soon after by groups above their share. Without this protection,
+    # when the record contained only shares, these 96 tasks were started 592 times. Before there is a record, they are
+    # evicted.
     late_starts = [
         start[1] for start in scenario.oracle.starts if not start[1][0].startswith("wk-1") and start[0] > 100
     ]
@@ -387,7 +397,7 @@
     scenario = run_overload(
         [(20.0, "submit wk-20000 team=b tasks=400 cpus=4 run=8")], 200.0, guarantee=64, priority="normal"
     )
-    # Both demand more than the capacity at all times: a is guaranteed half of it, and b gets the other half.
+    # Both teams always demand more than the capacity: team a is guaranteed half of it, and team b gets the other half.
     late_starts = [start for start in scenario.oracle.starts if start[0] > 120]
     of_team_a = len([start for start in late_starts if start[1][0].startswith("wk-1")])
     assert 0.4 <= of_team_a / len(late_starts) <= 0.6, of_team_a / len(late_starts)
@@ -399,7 +409,7 @@
     ):
         scenario = run_overload([(100.0, f"submit wk-2000{number} team=b {words}")], 230.0)
         first = [at for at, key, *_ in scenario.oracle.starts if key[0].startswith("wk-2")]
-        # The class's target wait (60 s at most), the time until evicted tasks have stopped, and some rounds.
+        # The target wait of the class (60 s at most), the time until evicted tasks have stopped, and a few rounds.
         assert first and first[0] <= 100 + 60 + 25, words
 
 
@@ -424,7 +434,7 @@
 
 
 def overloaded_leader() -> tuple[CoreHarness, AdmissionControl]:
-    """A leader whose team t demands more than its only machine has."""
+    """Return a leader whose team t demands more cores than its only machine has."""
     harness = CoreHarness(OperatorSettings(admission=True))
     core = harness.core
     harness.put_record(rec.EPOCH, rec.EpochRecord(2, "n0", {"n0": 7, "n1": 8}, {"m-1": "n0"}))
@@ -440,8 +450,12 @@
     return harness, core.admission
 
 
-def step_and_answer(harness: CoreHarness, status: int, at: float) -> list[Any]:
-    """Run a step, answer each commit with ``status``, and return the admission records that it was to write."""
+def step_and_respond(harness: CoreHarness, status: int, at: float) -> list[Any]:
+    """Run a step, respond to each commit with ``status``, and return the admission records that it attempted to write.
+
+    "apply", "write", "drop", "data" and "ledger" are the wire names of a transaction's operations, put, delete, value
+    and revision.
+    """
     core = harness.core
     core.context.state_served_at = clock_at(at).monotonic
     core.context.state_writes.tokens = core.context.state_writes.burst
@@ -459,43 +473,43 @@
     return written
 
 
-def test_the_record_starts_after_the_starvation_time_survives_refused_writes_and_includes_new_classes() -> None:
+def test_the_record_is_published_after_the_starvation_time_despite_rate_limiting_and_includes_new_classes() -> None:
     harness, admission = overloaded_leader()
     now_s, published_s = 200.0, 0.0
     while not published_s:
         now_s += 0.5
-        if step_and_answer(harness, 429, now_s):
+        if step_and_respond(harness, 429, now_s):
             published_s = now_s
         assert now_s < 300
-    assert 200 + 60 <= published_s <= 200 + 70, "after the starvation time and no sooner"
-    # Refused for lack of write budget: there is no record yet, and the write is retried, but not in every step.
+    assert 200 + 60 <= published_s <= 200 + 70, "published after the starvation time, not earlier"
+    # The write is rate-limited (429): there is no record yet, and the write is retried, but not in every step.
     assert admission.active_record() is None
-    tries = sum(bool(step_and_answer(harness, 429, now_s + 0.5 * step)) for step in range(1, 41))
+    tries = sum(bool(step_and_respond(harness, 429, now_s + 0.5 * step)) for step in range(1, 41))
     assert 1 <= tries <= 45 and admission.active_record() is None
     now_s += 21
     while admission.active_record() is None:
         now_s += 0.5
-        step_and_answer(harness, 200, now_s)
+        step_and_respond(harness, 200, now_s)
         assert now_s < 320
     previous = admission.active_record()
     assert previous is not None and {group.job_class for group in previous.groups} == {"x", "y"}
-    # A class that appears later gets its floor with the next generation.
+    # A class that appears later gets a floor in the next generation.
     spec = msgspec.structs.replace(harness.core.context.cluster_state.jobs["wk-50"].spec, id="wk-60", job_class="z")
     harness.put_record("g/j/wk-60", rec.JobRecord(spec, int(harness.core.context.wall_time.timestamp() * 1000)))
     for step in range(1, 16):
-        step_and_answer(harness, 200, now_s + 0.5 * step)
+        step_and_respond(harness, 200, now_s + 0.5 * step)
     current = admission.active_record()
     assert current is not None and current.generation > previous.generation
     assert {group.job_class for group in current.groups} == {"x", "y", "z"} and current.salt == previous.salt
-    # A new leader continues with the record.
+    # A new leader keeps enforcing floors while there is a record.
     admission.epoch_changed()
     assert admission._enforcing
-    # Without overload it is deleted.
-    for name in list(harness.core.context.cluster_state.jobs):
+    # Without overload, the record is deleted.
+    for job_id in list(harness.core.context.cluster_state.jobs):
         harness.revision += 1
-        harness.core.context.cluster_state.apply(f"g/j/{name}", None, harness.revision)
+        harness.core.context.cluster_state.apply(f"g/j/{job_id}", None, harness.revision)
     for step in range(16, 60):
-        step_and_answer(harness, 200, now_s + 0.5 * step)
+        step_and_respond(harness, 200, now_s + 0.5 * step)
     assert harness.core.context.cluster_state.admission is None
 
 
@@ -510,7 +524,7 @@
     harness, admission = overloaded_leader()
     admission._fleet_capacity = lambda: (1.0,)  # raises: the number of resources does not match
     for step in range(4):
-        step_and_answer(harness, 200, 200.0 + step)
+        step_and_respond(harness, 200, 200.0 + step)
     assert harness.core.context.cluster_state.admission is None
 
 
@@ -535,10 +549,10 @@
     assert [(group.job_class, group.waiting, group.floor, group.taken) for group in shown.groups] == [
         ("x", 800.0, 8.0, 0.6), ("y", 200.0, None, 1.0),
     ]  # fmt: skip
-    effects = harness.core.step(clock_at(300), [IncomingRequest(1, RequestKind.ADMISSION)])
+    effects = harness.core.step(clock_at(300), [IncomingRequest(1, RequestKind.GET_ADMISSION_STATUS)])
     assert [effect.status for effect in effects if isinstance(effect, Reply)] == [200]
     disabled = CoreHarness(OperatorSettings(admission=False)).core.step(
-        clock_at(300), [IncomingRequest(1, RequestKind.ADMISSION)]
+        clock_at(300), [IncomingRequest(1, RequestKind.GET_ADMISSION_STATUS)]
     )
     assert [effect.status for effect in disabled if isinstance(effect, Reply)] == [404]
 
@@ -552,15 +566,15 @@
         WatchResult(failed=True),
     )
     ordered = user_requests_last([*submissions, watch_result, *polls, cancel, report])
-    # Messages of controllers and machines keep their order: a report that follows the update of an epoch is evaluated
-    # under that epoch.
+    # Messages of controllers and machines keep their order, so that a report that follows an epoch update is evaluated
+    # under the new epoch.
     assert ordered[:3] == [watch_result, report, cancel] and ordered[3:] == [*polls, *submissions]
     harness, _ = overloaded_leader()
     effects = harness.core.step(
         clock_at(210), [*submissions, IncomingRequest(300, RequestKind.REPORT, harness.report())]
     )
     assert next(effect.request_id for effect in effects if isinstance(effect, Reply)) == 300
-    # Each kind of request has its own limit.
+    # Each kind of user request has its own limit of pending requests.
     users = harness.core.users
     harness.core.context.state_served_at = clock_at(220).monotonic
     max_requests = int(10 * harness.core.context.cluster.limits.memory_mb)
@@ -568,16 +582,16 @@
         users.pending.by_id[-number - 1] = None  # type: ignore[assignment]
         if len(users.pending.by_id) == int(0.5 * max_requests):
             assert (
-                refused(harness, RequestKind.SUBMIT)
-                and not refused(harness, RequestKind.POLL)
-                and not refused(harness, RequestKind.CANCEL)
+                is_rejected(harness, RequestKind.SUBMIT)
+                and not is_rejected(harness, RequestKind.POLL)
+                and not is_rejected(harness, RequestKind.CANCEL)
             )
         if len(users.pending.by_id) == int(0.8 * max_requests):
-            assert refused(harness, RequestKind.POLL) and not refused(harness, RequestKind.CANCEL)
+            assert is_rejected(harness, RequestKind.POLL) and not is_rejected(harness, RequestKind.CANCEL)
 
 
-def refused(harness: CoreHarness, kind: RequestKind) -> bool:
-    """Whether a request is refused at once because too many are pending."""
+def is_rejected(harness: CoreHarness, kind: RequestKind) -> bool:
+    """Return whether a request is rejected immediately because too many are pending."""
     users, context = harness.core.users, harness.core.context
     body = msgspec.json.encode({**JOB, "nameId": "wk-900", "owner": "t"}) if kind is RequestKind.SUBMIT else b""
     users.handle(IncomingRequest(999_999, kind, body, "wk-900"))
@@ -585,7 +599,7 @@
     replies = [
         effect for effect in context.take_effects() if isinstance(effect, Reply) and effect.request_id == 999_999
     ]
-    return any(reply.status == 429 and reply.retry_after for reply in replies)
+    return any(reply.status == 429 and reply.retry_after_s for reply in replies)
 
 
 def test_the_command_prints_the_same_as_text_and_as_json(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -604,18 +618,20 @@
     assert msgspec.json.decode(as_json.output) == msgspec.json.decode(response)
 
 
-def test_guarantees_that_exceed_the_capacity_leave_each_class_its_floor() -> None:
+def test_guaranteed_demand_above_the_capacity_leaves_each_class_its_floor() -> None:
     group, other = ("t", "x"), ("t", "y")
     groups = {group: GroupUsage(), other: GroupUsage()}
     groups[group].used[0], groups[other].used[0] = 9.0, 1.0
     shares = [rec.GroupShare(*group, 4.0, 8.0), rec.GroupShare(*other, 4.0, 8.0)]
-    for guarantees_exceed, over_guarantee, guarantee_applies in (
+    for guaranteed_demand_exceeds, teams_over_guarantee, guarantee_applies in (
         (False, {"t"}, True),
         (True, set(), True),
         (True, {"t"}, False),
     ):
-        tiers = PriorityTiers(
-            rec.AdmissionRecord(1, "shaping", 0, 10, shares, "", guarantees_exceed), groups, over_guarantee
+        tiers = AdmissionTiers(
+            rec.AdmissionRecord(1, "shaping", 0, 10, shares, "", guaranteed_demand_exceeds),
+            groups,
+            teams_over_guarantee,
         )
         assert tiers.guarantee_applies(group, True) is guarantee_applies and not tiers.guarantee_applies(group, False)
         tier = tiers.tier_of(group, True)
@@ -626,11 +642,11 @@
         group: GroupDemand((9.0, 0.0, 0.0), (9.0, 0.0, 0.0)),
         other: GroupDemand((1.0, 0.0, 0.0), (0.0, 0.0, 0.0)),
     }
-    assert guarantees_exceed_capacity(demands, {"t": Team("t", 18.0, 0.0)}, (17.0, 0.0, 0.0))
-    assert not guarantees_exceed_capacity(demands, {"t": Team("t", 18.0, 0.0)}, (18.0, 0.0, 0.0))
+    assert guaranteed_demand_exceeds_capacity(demands, {"t": Team("t", 18.0, 0.0)}, (17.0, 0.0, 0.0))
+    assert not guaranteed_demand_exceeds_capacity(demands, {"t": Team("t", 18.0, 0.0)}, (18.0, 0.0, 0.0))
 
 
-def test_a_class_held_up_by_its_own_teams_limit_is_not_starved() -> None:
+def test_a_class_that_is_held_back_by_its_teams_limit_is_not_starved() -> None:
     teams = {"t": Team("t", 20.0, 32.0), "u": Team("u", 20.0, 0.0)}
     demands = {
         ("t", "services"): GroupDemand((30.0, 0.0, 0.0), (0.0, 0.0, 0.0)),
@@ -639,8 +655,8 @@
     }
     capacity = (100.0, 0.0, 400.0)
     shares = fair_shares(demands, teams, capacity)
-    assert shares["t", "arrays"].floor > 0
+    assert shares["t", "arrays"].floor_cpus > 0
     assert starved_groups(demands, shares, capacity, teams) == []
-    # With capacity left under the limit it is other teams that keep it waiting.
+    # If the team has not reached its limit, the class waits because of other teams, so it is starved.
     demands["t", "services"] = GroupDemand((10.0, 0.0, 0.0), (0.0, 0.0, 0.0))
     assert starved_groups(demands, fair_shares(demands, teams, capacity), capacity, teams) == [("t", "arrays")]
--- a/tests/test_answer_freshness.py
+++ b/tests/test_answer_freshness.py
@@ -1,4 +1,15 @@
-"""Replies must never be older than the request: its user may have seen a newer state at another controller."""
+"""A reply must reflect all state that was committed before its request arrived.
+
+The user may already have seen this state at another controller. A lookup of a job that is missing from the cluster
+state consists of an existence check (a commit with conditions and no writes) and, if the job exists, a read of its
+record. A confirmation is such a commit with the version of a record that is in the cluster state.
+
+Wire names in this file: "ledger" is the revision and "stamp" the version of a record, "data" a value, "aborted" the
+state of a cancelled job. Fields of a submission: "nameId" is the job id, "owner" the team, "shape" the job kind,
+"portions" the number of tasks, "cores" the CPUs per task. Rules of the oracle (the checker of the simulation):
+"went_back" is a reported state that is older than one reported before, "forgotten" a lost job or one without replies,
+"took_impossible" an accepted job that is invalid.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +38,8 @@
 from test_fencing import SPEC, CoreHarness
 from test_protocol import JOB
 
-KEY = "g/j/wk-9"
+#: Key of the job record; the key of the final record of the job is "g/f/wk-9".
+JOB_KEY = "g/j/wk-9"
 
 
 class LookupHarness:
@@ -53,11 +65,11 @@
             for effect in effects
             if isinstance(effect, OutgoingCall)
             and effect.target is Target.STATE
-            and (KEY.encode() in (effect.body or b"") or effect.path.endswith("wk-9"))
+            and (JOB_KEY.encode() in (effect.body or b"") or effect.path.endswith("wk-9"))
         ]
 
     def next_call(self, *events: Any) -> OutgoingCall:
-        """The single call that follows in this step or one of the next five."""
+        """Return the only call to the state service in this step and, if there is none, in the next five steps."""
         calls = self.step(*events)
         for _ in range(5):
             calls += [] if calls else self.step()
@@ -68,31 +80,34 @@
         return self.step(IncomingRequest(request_id, kind, body, "wk-9"))
 
 
-def not_found(call: OutgoingCall) -> CallResult:
+def job_absent(call: OutgoingCall) -> CallResult:
+    """Return the result of an existence check for a job that does not exist: the condition holds, so status 200."""
     return CallResult(call.call_id, 200, b'{"ledger":20}')
 
 
-def found(call: OutgoingCall, *, cancelled: bool = False, version: int = 25) -> CallResult:
+def job_present(call: OutgoingCall, *, cancelled: bool = False, version: int = 25) -> CallResult:
+    """Return the result of an existence check (409: the condition that the key is absent failed) or read of a job."""
     if call.method == "POST":
-        return CallResult(call.call_id, 409, msgspec.json.encode({"failed": [KEY], "ledger": version}))
+        return CallResult(call.call_id, 409, msgspec.json.encode({"failed": [JOB_KEY], "ledger": version}))
     record = rec.JobRecord(msgspec.structs.replace(SPEC, id="wk-9"), 0, cancelled)
-    return CallResult(call.call_id, 200, msgspec.json.encode({"key": KEY, "data": record, "stamp": version}))
+    return CallResult(call.call_id, 200, msgspec.json.encode({"key": JOB_KEY, "data": record, "stamp": version}))
 
 
-def test_request_during_a_lookup_is_answered_by_a_later_lookup() -> None:
+def test_a_request_that_arrives_during_a_lookup_is_answered_by_a_later_lookup() -> None:
     harness = LookupHarness()
     (check,) = harness.request(1)
-    # Meanwhile another controller accepts the job and replies so; its user then polls here.
+    # Meanwhile another controller accepts the job and confirms it to the user, who then polls this controller.
     assert harness.request(2) == []
-    second_check = harness.next_call(not_found(check))
+    second_check = harness.next_call(job_absent(check))
     assert harness.replies[1].status == 404 and 2 not in harness.replies
-    read = harness.next_call(found(second_check))
-    # The same while the record is being read: the job is cancelled at another controller, and the user polls again.
+    read = harness.next_call(job_present(second_check))
+    # Likewise, a request that arrives during a read is not answered by it: the job is cancelled at another controller,
+    # and its user polls this controller again.
     assert harness.request(3) == []
-    second_check = harness.next_call(found(read))
+    second_check = harness.next_call(job_present(read))
     assert b"queued" in harness.replies[2].body and 3 not in harness.replies
-    read = harness.next_call(found(second_check))
-    harness.step(found(read, cancelled=True, version=26))
+    read = harness.next_call(job_present(second_check))
+    harness.step(job_present(read, cancelled=True, version=26))
     assert b"aborted" in harness.replies[3].body
 
 
@@ -101,7 +116,7 @@
     (check,) = harness.request(1)
     harness.request(2)
     second_check = harness.next_call(CallResult(check.call_id, 0))
-    harness.step(not_found(second_check))
+    harness.step(job_absent(second_check))
     assert {number: reply.status for number, reply in harness.replies.items()} == {1: 404, 2: 404}
 
 
@@ -117,34 +132,41 @@
 
 def watch_update(record: rec.JobRecord, version: int) -> WatchResult:
     value = msgspec.Raw(msgspec.json.encode(record))
-    return WatchResult(wire.WatchReply(version, [wire.WatchEvent(version, KEY, None, value)]))
+    return WatchResult(wire.WatchReply(version, [wire.WatchEvent(version, JOB_KEY, None, value)]))
 
 
 def test_a_changed_job_is_read_without_an_existence_check() -> None:
     harness = LookupHarness()
     harness.step(watch_update(rec.JobRecord(msgspec.structs.replace(SPEC, id="wk-9"), 0), 30))
     confirmation = harness.next_call(IncomingRequest(1, RequestKind.POLL, b"", "wk-9"))
-    # The watch lags behind and the record has changed. One more call suffices; an existence check would add a second.
+    # The watch lags behind, and the record has changed. One more call suffices; an existence check would need a second.
     read = harness.next_call(
-        CallResult(confirmation.call_id, 409, msgspec.json.encode({"failed": [KEY], "ledger": 40}))
+        CallResult(confirmation.call_id, 409, msgspec.json.encode({"failed": [JOB_KEY], "ledger": 40}))
     )
-    assert (read.method, read.path) == ("GET", wire.key_path(KEY))
-    harness.step(found(read, cancelled=True, version=40))
+    assert (read.method, read.path) == ("GET", wire.key_path(JOB_KEY))
+    harness.step(job_present(read, cancelled=True, version=40))
     assert b"aborted" in harness.replies[1].body
-    # The watch has delivered the final record in the meantime: no further call.
+    # If the watch has delivered the final record in the meantime, no further call is made.
     harness = LookupHarness()
     harness.step(watch_update(rec.JobRecord(msgspec.structs.replace(SPEC, id="wk-9"), 0), 30))
     confirmation = harness.next_call(IncomingRequest(1, RequestKind.POLL, b"", "wk-9"))
     final = msgspec.Raw(msgspec.json.encode(rec.FinalRecord(True, 1, "")))
     harness.step(
-        WatchResult(wire.WatchReply(40, [wire.WatchEvent(40, None, KEY), wire.WatchEvent(40, "g/f/wk-9", None, final)]))
+        WatchResult(
+            wire.WatchReply(40, [wire.WatchEvent(40, None, JOB_KEY), wire.WatchEvent(40, "g/f/wk-9", None, final)])
+        )
     )
     assert (
-        harness.step(CallResult(confirmation.call_id, 409, msgspec.json.encode({"failed": [KEY], "ledger": 40}))) == []
+        harness.step(CallResult(confirmation.call_id, 409, msgspec.json.encode({"failed": [JOB_KEY], "ledger": 40})))
+        == []
     )
     assert b"done" in harness.replies[1].body
 
 
+# Scenario words: "nodes" are controllers; "close-looks": whenever a job is reported as accepted, done or cancelled, its
+# user polls all controllers within milliseconds, and the fraction "cancels" of the users cancels accepted jobs;
+# "slow-state" and "slow-watch" delay the responses of the state service and its watches; "ask" polls for jobs that have
+# not been submitted; "times" is a number of jobs. All times ("at", "for", "by", "boot", "run") are in seconds.
 CONCURRENT_POLLS_SCENARIO = """
 nodes 3
 team t cpus=40 max=64
@@ -156,8 +178,8 @@
 """
 
 
-def concurrent_polls(seed: int) -> str:
-    """Concurrent polls while the state service and its watches are slow and a controller crashes."""
+def concurrent_polls_scenario(seed: int) -> str:
+    """Return a scenario with concurrent polls, a slow state service, slow watches and a controller that crashes."""
     rng = random.Random(seed)
     lines = [CONCURRENT_POLLS_SCENARIO]
     for number in range(1, 4):
@@ -169,22 +191,26 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_concurrent_polls_never_return_an_older_state(seed: int) -> None:
-    scenario = Scenario(concurrent_polls(seed), seed).run()
-    assert scenario.oracle.violations == [], concurrent_polls(seed)
+    scenario = Scenario(concurrent_polls_scenario(seed), seed).run()
+    assert scenario.oracle.violations == [], concurrent_polls_scenario(seed)
     reply_count = sum(len(user.responses) for user in scenario.users.values())
     assert reply_count > 1000 and len(scenario.oracle.accepted_at) == 75
 
 
-def test_concurrent_polls_detect_answers_from_lookups_sent_before_the_request(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_oracle_detects_replies_from_lookups_that_were_sent_before_the_request(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     original_finish = Lookups._finish
 
-    def answer_all(self: Lookups, entries: list[Any], exists: bool) -> None:
-        names = {entry.request.job for entry in entries}
-        original_finish(self, entries + [late for name in names for late in self._entries.pop(name, [])], exists)
+    def respond_to_all(self: Lookups, entries: list[Any], exists: bool) -> None:
+        job_ids = {entry.request.job_id for entry in entries}
+        original_finish(self, entries + [late for job_id in job_ids for late in self._entries.pop(job_id, [])], exists)
 
-    monkeypatch.setattr(Lookups, "_finish", answer_all)
-    broken = [text for seed in range(8) for text in Scenario(concurrent_polls(seed), seed).run().oracle.violations]
-    assert any(text.startswith(("went_back", "forgotten")) for text in broken)
+    monkeypatch.setattr(Lookups, "_finish", respond_to_all)
+    violations = [
+        text for seed in range(8) for text in Scenario(concurrent_polls_scenario(seed), seed).run().oracle.violations
+    ]
+    assert any(text.startswith(("went_back", "forgotten")) for text in violations)
 
 
 MALFORMED_FIELDS: list[dict[str, Any]] = [
@@ -197,25 +223,25 @@
 
 
 @pytest.mark.parametrize("change", MALFORMED_FIELDS)
-def test_a_malformed_submission_is_refused_unless_it_names_a_known_job(change: dict[str, Any]) -> None:
+def test_a_malformed_submission_is_rejected_unless_it_names_a_known_job(change: dict[str, Any]) -> None:
     body = msgspec.json.encode({**JOB, "nameId": "wk-9", "owner": "t", **change})
     harness = LookupHarness()
     (check,) = harness.request(1, RequestKind.SUBMIT, body)
-    harness.step(not_found(check))
+    harness.step(job_absent(check))
     assert harness.replies[1].status == 400
     harness = LookupHarness()
     (check,) = harness.request(1, RequestKind.SUBMIT, body)
-    (read,) = harness.step(found(check))
-    harness.step(found(read))
-    # Answering a repeated submission with 400 or 422 would mean that the job has been forgotten.
+    (read,) = harness.step(job_present(check))
+    harness.step(job_present(read))
+    # Replying 400 or 422 to a repeated submission would mean that the accepted job has been lost.
     assert harness.replies[1].status == 200 and b"queued" in harness.replies[1].body
 
 
-def test_an_infeasible_job_is_rejected_but_the_resubmission_of_a_known_one_is_not() -> None:
+def test_a_job_of_an_unknown_team_is_rejected_but_the_resubmission_of_a_known_job_is_not() -> None:
     body = msgspec.json.encode({**JOB, "nameId": "wk-9", "owner": "nobody"})
     harness = LookupHarness()
     (check,) = harness.request(1, RequestKind.SUBMIT, body)
-    harness.step(not_found(check))
+    harness.step(job_absent(check))
     assert harness.replies[1].status == 422
     harness.step(watch_update(rec.JobRecord(msgspec.structs.replace(SPEC, id="wk-9"), 0), 30))
     confirmation = harness.next_call(IncomingRequest(2, RequestKind.SUBMIT, body, "wk-9"))
@@ -223,6 +249,8 @@
     assert harness.replies[2].status == 200
 
 
+# Scenario words: "odd": users submit infeasible or malformed jobs, repeat submissions and cancel finished jobs;
+# "outage": the state service is unavailable.
 INVALID_REQUESTS_SCENARIO = """
 nodes 3
 team t cpus=40 max=64
@@ -238,10 +266,12 @@
 """
 
 
-def test_invalid_requests_are_rejected_for_good_by_every_controller(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_invalid_requests_are_rejected_permanently_by_every_controller(monkeypatch: pytest.MonkeyPatch) -> None:
     scenario = Scenario(INVALID_REQUESTS_SCENARIO, 1).run()
     assert (
-        scenario.oracle.violations == [] and scenario.unmet_expectations == [] and len(scenario.oracle.impossible) > 50
+        scenario.oracle.violations == []
+        and scenario.unmet_expectations == []
+        and len(scenario.oracle.invalid_job_ids) > 50
     )
     # Without the check, jobs that fit no machine are accepted.
     monkeypatch.setattr(
