--- a/src/gladecroft/bookkeeping/records.py
+++ b/src/gladecroft/bookkeeping/records.py
@@ -38,8 +38,8 @@
 ADMISSION = "g/s/admission"
 
 #: Names of the record kinds in log messages, by prefix.
-RECORD_NAMES = {JOBS: "job", CHUNKS: "tasks", FINALS: "final record", TEAMS: "claim", MACHINES: "machine",
-                OUTBOXES: "outbox", POLICIES: "policy", ADMISSION_PREFIX: "admission"}  # fmt: skip
+RECORD_NAMES = {JOBS: "job", CHUNKS: "tasks", FINALS: "final state", TEAMS: "claim", MACHINES: "machine",
+                OUTBOXES: "mail", POLICIES: "policy", ADMISSION_PREFIX: "admission"}  # fmt: skip
 
 #: Bytes per task that the number of tasks in a chunk is based on. Tasks with notes may take more; the notes are dropped
 #: if the value gets too large.
--- a/src/gladecroft/bookkeeping/teams.py
+++ b/src/gladecroft/bookkeeping/teams.py
@@ -77,7 +77,7 @@
             self._dirty_teams.add(job.spec.team)
 
     def refresh(self, jobs: Mapping[str, Job]) -> set[str]:
-        """Update ``jobs_within`` and ``teams_over``; return the ids of the affected jobs."""
+        """Update ``guaranteed_job_ids`` and ``teams_over``; return the ids of the affected jobs."""
         changed: set[str] = set()
         for team in self._dirty_teams:
             before = self._guaranteed_job_ids_by_team.get(team, set())
--- a/src/gladecroft/coordination/admission/control.py
+++ b/src/gladecroft/coordination/admission/control.py
@@ -287,7 +287,7 @@
 
         def on_commit_result(status: int, body: bytes) -> None:
             self._in_flight = False
-            context.count_writes("admission" if status == 200 else f"failed ({status})")
+            context.count_writes("admission" if status == 200 else f"refused ({status})")
             if status == 200:
                 self.cluster_state.apply(rec.ADMISSION, value, wire.decode(wire.TxnReply, body).revision)
                 self._log_record()
--- a/src/gladecroft/coordination/events.py
+++ b/src/gladecroft/coordination/events.py
@@ -28,11 +28,11 @@
     #: An operator asks for the state of admission control.
     GET_ADMISSION_STATUS = "admission"
     #: A peer announces attempts that are confirmed to have ended.
-    ANNOUNCE_ENDED_ATTEMPTS = "announce_ended_attempts"
+    ANNOUNCE_ENDED_ATTEMPTS = "ended"
     #: A peer announces machines that are up without a record, and machines that were returned to the cloud.
-    ANNOUNCE_MACHINES = "announce_machines"
+    ANNOUNCE_MACHINES = "heard"
     #: A peer asks which of the given machines report to this controller.
-    QUERY_REPORTING = "query_reporting"
+    QUERY_REPORTING = "hears"
     #: A peer asks for consent to keep renewing the leases of its machines while the state service is down.
     REQUEST_CONSENT = "consent"
 
--- a/src/gladecroft/coordination/state_writer/writer.py
+++ b/src/gladecroft/coordination/state_writer/writer.py
@@ -290,8 +290,8 @@
             self.commit_pending = False
             for key, value in txn.writes.items():
                 # Writes of a failed commit use up the budget as well.
-                label = rec.RECORD_NAMES.get(key[: len(rec.JOBS)], key) + ("" if value is not None else " deleted")
-                context.count_writes(label if status == 200 else f"failed ({status})")
+                label = rec.RECORD_NAMES.get(key[: len(rec.JOBS)], key) + ("" if value is not None else " dropped")
+                context.count_writes(label if status == 200 else f"refused ({status})")
             if status == 200:
                 revision = wire.decode(wire.TxnReply, body).revision
                 self.uncertain_teams -= txn.claimed_teams
--- a/src/gladecroft/coordination/users/commit_queue.py
+++ b/src/gladecroft/coordination/users/commit_queue.py
@@ -119,7 +119,7 @@
 
         def on_commit_result(status: int, body: bytes) -> None:
             self._in_flight = False
-            context.count_writes("accepted or cancelled" if status == 200 else f"failed ({status})", len(ops))
+            context.count_writes("accepted or cancelled" if status == 200 else f"refused ({status})", len(ops))
             if status == 200:
                 revision = wire.decode(wire.TxnReply, body).revision
                 for op in ops:
--- a/src/gladecroft/protocol/settings.py
+++ b/src/gladecroft/protocol/settings.py
@@ -184,7 +184,7 @@
 
 
 def parse_address(addr: str, field: str = "address") -> tuple[str, int]:
-    """Split HOST:PORT; ``where`` names the field in the error message."""
+    """Split HOST:PORT; ``field`` names the setting or option in the error message."""
     host, colon, port = addr.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise SettingsError(f"{field}: expected HOST:PORT, got {addr!r}")
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -221,7 +221,7 @@
     assert ends_while_start_is_in_transit()
 
 
-def test_no_direct_start_in_a_session_without_a_reply() -> None:
+def test_no_direct_start_before_the_first_reply_in_a_session() -> None:
     """No direct command starts a task in a worker session that has not received a reply yet.
 
     A machine that receives no replies begins a new session, while its owner still counts the machine's lease from a
--- a/tests/test_machine_report_faults.py
+++ b/tests/test_machine_report_faults.py
@@ -341,7 +341,7 @@
 )  # fmt: skip
 
 
-def test_no_direct_start_in_a_session_without_a_reply(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_direct_start_in_a_new_session_of_a_machine_whose_reports_are_lost(monkeypatch: pytest.MonkeyPatch) -> None:
     run_scenario(LOST_REPORTS, 2)
     push = MachineManager._push
 
@@ -425,7 +425,7 @@
         def count_and_reply(status: int, body: bytes) -> None:
             for op in txn.get("apply") or [] if status == 200 else []:
                 key = op.get("write") or op["drop"]
-                writes[key[:4] + ("" if "write" in op else " deleted")] += 1
+                writes[key[:4] + ("" if "write" in op else " dropped")] += 1
             reply(status, body)
 
         commit(txn, count_and_reply)
